--- a/molehill/benchlink/__main__.py
+++ b/molehill/benchlink/__main__.py
@@ -3,128 +3,129 @@
 import gc
 import sys
 
-from molehill import config
-from molehill import interface as it
+from molehill import config, interface
 from molehill.benchlink import codec
 from molehill.decisions.dispatcher import Dispatcher
 
 
-class Host:
+class InstanceServer:
     """The instances of one process. They share this table and nothing else."""
 
-    def __init__(self, lines):
-        self.lines = lines
-        self.number = 0  # of the line read last
+    def __init__(self, input_lines):
+        self.input_lines = input_lines
+        self.line_number = 0  # of the line read last
         self.instances: dict[int, Dispatcher] = {}
         # where an instance's reports hold the told limit
-        self.places: dict[int, tuple | None] = {}
-        self.tables: dict[int, list[it.HostEntry]] = {}
+        self.limit_positions: dict[int, tuple | None] = {}
+        self.host_tables: dict[int, list[interface.HostEntry]] = {}
 
-    def next_line(self) -> str:
-        line = self.lines.readline()
-        self.number += 1
+    def read_line(self) -> str:
+        line = self.input_lines.readline()
+        self.line_number += 1
         return line
 
-    def entries(self, buffer: str, count: str) -> None:
+    def read_host_table(self, table: str, count: str) -> None:
         rows = []
         for _ in range(codec.whole(count)):
-            parts = self.next_line().split()
-            if len(parts) < 7 or parts[0] != "host":
+            fields = self.read_line().split()
+            if len(fields) < 7 or fields[0] != "host":
                 raise codec.WireError("a 'host' line with its values was due")
-            rows.append(codec.entry(parts[1:]))
-        self.tables[codec.whole(buffer)] = rows
+            rows.append(codec.parse_host_entry(fields[1:]))
+        self.host_tables[codec.whole(table)] = rows
 
-    def batch(self, now: int) -> str:
+    def run_batch(self, now: int) -> str:
         """Reads events up to 'commit' and gives the reply; each instance gets its own in order of arrival."""
-        pending: dict[int, list] = {}
-        out: list[str] = []
+        batches: dict[int, list] = {}
+        replies: list[str] = []
 
         while True:
-            line = self.next_line()
+            line = self.read_line()
             if not line:
                 raise codec.WireError("input ended inside a batch")
-            parts = line.split()
-            name = parts[0] if parts else ""
-            if name == "commit":
+            fields = line.split()
+            event_name = fields[0] if fields else ""
+            if event_name == "commit":
                 break
-            if name == "table" and len(parts) > 2:
-                self.entries(parts[1], parts[2])
+            if event_name == "table" and len(fields) > 2:
+                self.read_host_table(fields[1], fields[2])
                 continue
-            if len(parts) < 2:
+            if len(fields) < 2:
                 raise codec.WireError("an event without its values")
-            number = codec.whole(parts[1])
-            if name == "launch":
-                if len(parts) < 3:
+            instance = codec.whole(fields[1])
+            if event_name == "launch":
+                if len(fields) < 3:
                     raise codec.WireError("'launch' lacks values")
-                given = codec.pairs(parts[3:])
-                self.instances[number] = Dispatcher(config.settings(given), codec.whole(parts[2]))
-                self.places[number] = config.limit_places(given)
-                pending[number] = []
+                settings_by_path = codec.parse_pairs(fields[3:])
+                self.instances[instance] = Dispatcher(
+                    config.settings(settings_by_path), codec.whole(fields[2])
+                )
+                self.limit_positions[instance] = config.limit_places(settings_by_path)
+                batches[instance] = []
                 continue
-            if name not in codec.EVENTS and name not in codec.UNUSED | {
+            if event_name not in codec.EVENT_PARSERS and event_name not in codec.IGNORED_EVENTS | {
                 "power_off",
                 "sync",
                 "reply",
             }:
-                raise codec.WireError(f"unknown event '{name}'")
-            if number not in self.instances:
-                if name == "power_off":
+                raise codec.WireError(f"unknown event '{event_name}'")
+            if instance not in self.instances:
+                if event_name == "power_off":
                     continue
-                raise codec.WireError(f"instance {number} has not been launched")
-            events = pending.setdefault(number, [])
-            if name == "power_off":
-                del self.instances[number], pending[number], self.places[number]
-            elif name == "sync":
-                if len(parts) < 3:
+                raise codec.WireError(f"instance {instance} has not been launched")
+            events = batches.setdefault(instance, [])
+            if event_name == "power_off":
+                del self.instances[instance], batches[instance], self.limit_positions[instance]
+            elif event_name == "sync":
+                if len(fields) < 3:
                     raise codec.WireError("'sync' lacks values")
-                scope = codec.named(parts[2], codec.SCOPES)
+                scope = codec.named(fields[2], codec.SCOPES)
                 rows = []
-                if scope is not it.Scope.FAILED:
-                    if len(parts) < 4 or codec.whole(parts[3]) not in self.tables:
+                if scope is not interface.ListScope.FAILED:
+                    if len(fields) < 4 or codec.whole(fields[3]) not in self.host_tables:
                         raise codec.WireError("'sync' names a table that was not declared")
-                    rows = self.tables[codec.whole(parts[3])]
-                events.append(it.ListNews(scope, rows))
-            elif name == "reply":
-                if len(parts) < 9:
+                    rows = self.host_tables[codec.whole(fields[3])]
+                events.append(interface.HostListUpdate(scope, rows))
+            elif event_name == "reply":
+                if len(fields) < 9:
                     raise codec.WireError("'reply' lacks values")
-                events.append(codec.outcome(parts[2:], self.places[number]))
-            elif name not in codec.UNUSED:
-                least, read = codec.EVENTS[name]
-                values = parts[2:]
-                if len(values) < least:
-                    raise codec.WireError(f"'{name}' lacks values")
-                events.append(read(values))
-        for number, events in pending.items():
+                events.append(codec.parse_outcome(fields[2:], self.limit_positions[instance]))
+            elif event_name not in codec.IGNORED_EVENTS:
+                minimum, parse = codec.EVENT_PARSERS[event_name]
+                values = fields[2:]
+                if len(values) < minimum:
+                    raise codec.WireError(f"'{event_name}' lacks values")
+                events.append(parse(values))
+        for instance, events in batches.items():
             try:
-                actions = self.instances[number].step(now, events)
-                out.extend(codec.action_line(number, action) for action in actions)
+                actions = self.instances[instance].step(now, events)
+                replies.extend(codec.format_action(instance, action) for action in actions)
             except Exception as error:  # the module broke: the wire has a word for that
-                out.append(
-                    f"crash {number} {type(error).__name__}: {' '.join(str(error).split())}\n"
+                replies.append(
+                    f"crash {instance} {type(error).__name__}: {' '.join(str(error).split())}\n"
                 )
-        return "".join(out)
+        return "".join(replies)
 
     def run(self, write, flush) -> None:
         while True:
-            line = self.next_line()
+            line = self.read_line()
             if not line:
                 return
-            parts = line.split()
-            if not parts:
+            fields = line.split()
+            if not fields:
                 continue
-            if parts[0] != "round" or len(parts) < 2:
+            if fields[0] != "round" or len(fields) < 2:
                 raise codec.WireError("a 'round' line was due")
-            write(self.batch(codec.nanos(parts[1])) + "ready\n")
+            write(self.run_batch(codec.nanos(fields[1])) + "ready\n")
             flush()
 
 
 def main() -> int:
     gc.freeze()
-    host = Host(sys.stdin)
+    server = InstanceServer(sys.stdin)
     try:
-        host.run(sys.stdout.write, sys.stdout.flush)
+        server.run(sys.stdout.write, sys.stdout.flush)
     except (config.ConfigError, UnicodeDecodeError, BrokenPipeError) as error:
-        print(f"benchlink: line {host.number}: {error}", file=sys.stderr)
+        print(f"benchlink: line {server.line_number}: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/molehill/benchlink/codec.py
+++ b/molehill/benchlink/codec.py
@@ -1,28 +1,28 @@
 """The bench's text wire, both ways. It translates and nothing else; molehill/interface.py has the types."""
 
-from molehill import interface as it
+from molehill import interface
 from molehill.config import NS_DIGITS, ConfigError, named, nanos, real, whole
 
 RESULTS = {
-    "S": it.Result.DELIVERED,
-    "E": it.Result.ERROR,
-    "F": it.Result.FULL,
-    "T": it.Result.TIMEOUT,
-    "C": it.Result.NO_CONNECT,
-    "R": it.Result.RESET,
-    "X": it.Result.CANCELLED,
-    "N": it.Result.NOT_SENT,
+    "S": interface.Result.DELIVERED,
+    "E": interface.Result.ERROR,
+    "F": interface.Result.REFUSED,
+    "T": interface.Result.TIMEOUT,
+    "C": interface.Result.NO_CONNECT,
+    "R": interface.Result.RESET,
+    "X": interface.Result.CANCELLED,
+    "N": interface.Result.NOT_SENT,
 }
 CONDITIONS = {
-    "up": it.Condition.UP,
-    "draining": it.Condition.DRAINING,
-    "removed": it.Condition.GONE,
+    "up": interface.Condition.UP,
+    "draining": interface.Condition.DRAINING,
+    "removed": interface.Condition.GONE,
 }
 SCOPES = {
-    "update": it.Scope.UPDATE,
-    "replace": it.Scope.WHOLE,
-    "restored": it.Scope.RESTORED,
-    "unavailable": it.Scope.FAILED,
+    "update": interface.ListScope.UPDATE,
+    "replace": interface.ListScope.WHOLE,
+    "restored": interface.ListScope.RESTORED,
+    "unavailable": interface.ListScope.FAILED,
 }
 
 
@@ -30,98 +30,106 @@
     """A line that the wire's page does not allow."""
 
 
-def millis(span: int) -> str:
+def format_milliseconds(span: int) -> str:
     """A span in nanoseconds to milliseconds, rounded up to the wire's microsecond."""
-    micros = -(-span // 1000)
-    return f"{micros // 1000}.{micros % 1000:03d}"
+    microseconds = -(-span // 1000)
+    return f"{microseconds // 1000}.{microseconds % 1000:03d}"
 
 
-def maybe(text: str, read, absent):
-    return absent if text == "-" else read(text)
+def parse_optional(text: str, parse, default):
+    return default if text == "-" else parse(text)
 
 
-def told_limit(p: list[str], at: int, places):
+def advertised_limit(fields: list[str], index: int, positions):
     """The report's limit in calls a second and the share of it that is left, at their places among the fields."""
-    values = p[at].split(",") if places is not None and len(p) > at and p[at] != "-" else []
-    rate, left = (
+    values = (
+        fields[index].split(",")
+        if positions is not None and len(fields) > index and fields[index] != "-"
+        else []
+    )
+    rate, share_left = (
         real(values[n]) if n is not None and len(values) > n else None
-        for n in places or (None, None)
+        for n in positions or (None, None)
     )
-    return rate or 0.0, left if rate else None
+    return rate or 0.0, share_left if rate else None
 
 
-def entry(parts: list[str]) -> it.HostEntry:
-    return it.HostEntry(
-        whole(parts[0]),
-        maybe(parts[1], whole, 0),
-        maybe(parts[2], whole, 0),
-        whole(parts[3]),
-        named(parts[4], CONDITIONS),
-        maybe(parts[5], real, 0.0),
+def parse_host_entry(fields: list[str]) -> interface.HostEntry:
+    return interface.HostEntry(
+        whole(fields[0]),
+        parse_optional(fields[1], whole, 0),
+        parse_optional(fields[2], whole, 0),
+        whole(fields[3]),
+        named(fields[4], CONDITIONS),
+        parse_optional(fields[5], real, 0.0),
     )
 
 
-def new_callback(p: list[str]) -> it.NewCallback:
-    return it.NewCallback(
-        whole(p[0]),
-        whole(p[1]),
-        maybe(p[2], whole, 0),
-        maybe(p[3], str, None),
-        nanos(p[4]),
-        whole(p[6]),
+def parse_new_callback(fields: list[str]) -> interface.NewCallback:
+    return interface.NewCallback(
+        whole(fields[0]),
+        whole(fields[1]),
+        parse_optional(fields[2], whole, 0),
+        parse_optional(fields[3], str, None),
+        nanos(fields[4]),
+        whole(fields[6]),
     )
 
 
-def outcome(p: list[str], places) -> it.Outcome:
-    result = named(p[3], RESULTS)
-    note = maybe(p[1], whole, 0)
-    rate, left = told_limit(p, 7, places)
-    return it.Outcome(
-        whole(p[0]),
-        whole(p[5]),
-        whole(p[6]),
+def parse_outcome(fields: list[str], positions) -> interface.Outcome:
+    result = named(fields[3], RESULTS)
+    retry_after_ms = parse_optional(fields[1], whole, 0)
+    rate, share_left = advertised_limit(fields, 7, positions)
+    return interface.Outcome(
+        whole(fields[0]),
+        whole(fields[5]),
+        whole(fields[6]),
         result,
-        nanos(p[2]),
-        note * 10**NS_DIGITS if result is it.Result.FULL else 0,
-        p[4] == "1",
+        nanos(fields[2]),
+        retry_after_ms * 10**NS_DIGITS if result is interface.Result.REFUSED else 0,
+        fields[4] == "1",
         rate,
-        told_left=left,
+        advertised_share_left=share_left,
     )
 
 
 # event name -> fewest values after the instance, how they are read
-EVENTS = {
-    "new_request": (7, new_callback),
-    "timer": (1, lambda p: it.Timer(p[0])),
-    "dropped": (1, lambda p: it.Withdrawn(whole(p[0]))),
+EVENT_PARSERS = {
+    "new_request": (7, parse_new_callback),
+    "timer": (1, lambda fields: interface.TimerExpired(fields[0])),
+    "dropped": (1, lambda fields: interface.CallbackWithdrawn(whole(fields[0]))),
 }
-UNUSED = {"whisper", "ack_first", "probe_result"}  # peers, streams, probes: the module uses none
+IGNORED_EVENTS = {
+    "whisper",
+    "ack_first",
+    "probe_result",
+}  # peers, streams, probes: the module uses none
 
 
-def pairs(texts: list[str]) -> dict[str, str]:
+def parse_pairs(pairs: list[str]) -> dict[str, str]:
     """The pairs of the launch message by path."""
-    given = {}
-    for text in texts:
-        path, eq, value = text.partition("=")
-        if not eq:
+    values_by_path = {}
+    for text in pairs:
+        path, separator, value = text.partition("=")
+        if not separator:
             raise WireError(f"'{text}' is not path=value")
-        given[path] = value
-    return given
-
-
-def action_line(instance: int, action) -> str:
-    if type(action) is it.Launch:
-        return f"deliver {instance} {action.callback} {action.host} {millis(action.time_out)}\n"
-    if type(action) is it.Wake:
-        return f"defer {instance} {millis(action.span)} {action.token}\n"
-    if type(action) is it.Reject:
-        return f"reject {instance} {action.callback} {millis(action.come_back)}\n"
-    if type(action) is it.Fail:
+        values_by_path[path] = value
+    return values_by_path
+
+
+def format_action(instance: int, action) -> str:
+    if type(action) is interface.StartAttempt:
+        return f"deliver {instance} {action.callback} {action.host} {format_milliseconds(action.timeout)}\n"
+    if type(action) is interface.SetTimer:
+        return f"defer {instance} {format_milliseconds(action.delay)} {action.token}\n"
+    if type(action) is interface.Reject:
+        return f"reject {instance} {action.callback} {format_milliseconds(action.retry_after)}\n"
+    if type(action) is interface.Fail:
         return f"abort {instance} {action.callback}\n"
-    if type(action) is it.CloseIdle:
+    if type(action) is interface.CloseIdle:
         return f"release {instance} {action.host}\n"
-    if type(action) is it.FollowList:
+    if type(action) is interface.WatchHostList:
         return f"listen {instance} 1\n"
-    if type(action) is it.Health:
+    if type(action) is interface.ReportHealth:
         return f"note_down {instance} {' '.join(action.text.split())}\n"
     raise TypeError(f"no line for {action!r}")
--- a/molehill/config.py
+++ b/molehill/config.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass, fields, replace
 from typing import Optional
 
-from molehill import interface as it
+from molehill import interface
 
 EFFECTS = {
-    "idempotent": it.Effect.IDEMPOTENT,
-    "deduplicated": it.Effect.DEDUPLICATED,
-    "at_most_once": it.Effect.AT_MOST_ONCE,
+    "idempotent": interface.DeliverySemantics.IDEMPOTENT,
+    "deduplicated": interface.DeliverySemantics.DEDUPLICATED,
+    "at_most_once": interface.DeliverySemantics.AT_MOST_ONCE,
 }
 NS_DIGITS = 6  # a millisecond holds 10^6 nanoseconds
 MS = 10**NS_DIGITS
@@ -136,7 +136,7 @@
         return self.get(path, lambda text: [read(part) for part in text.split(",")], [])
 
 
-def settings(given: dict[str, str], prefix: str = "") -> it.Settings:
+def settings(given: dict[str, str], prefix: str = "") -> interface.Settings:
     """What the module goes by; unknown keys are passed over, absent ones left to the defaults."""
     reader = Reader(given, prefix)
     get, row = reader.get, reader.row
@@ -145,8 +145,12 @@
         at = f"grades.{n}."
         scope = given.get(at + "dedupScope", "")
         categories.append(
-            it.Category(
-                get(at + "semantics", lambda text: named(text, EFFECTS), it.Effect.AT_MOST_ONCE),
+            interface.CallbackClass(
+                get(
+                    at + "semantics",
+                    lambda text: named(text, EFFECTS),
+                    interface.DeliverySemantics.AT_MOST_ONCE,
+                ),
                 get(at + "aimMs", nanos, 0),
                 get(at + "deadlineMs", nanos, 0),
                 get(at + "worth", real, 1.0),
@@ -158,36 +162,41 @@
             )
         )
     tenants = [
-        it.Tenant(get(f"parties.{n}.share", real, 0.0), get(f"parties.{n}.quotaPerS", real, None))
+        interface.Tenant(
+            get(f"parties.{n}.share", real, 0.0), get(f"parties.{n}.quotaPerS", real, None)
+        )
         for n in range(get("parties.count", whole, 0))
     ]
     apart, per_call = row("extra.kindApart", flag), row("extra.perCall", whole)
     kinds = [
-        it.Kind(n < len(apart) and apart[n], max(1, per_call[n]) if n < len(per_call) else 1)
+        interface.HostKind(
+            n < len(apart) and apart[n], max(1, per_call[n]) if n < len(per_call) else 1
+        )
         for n in range(max(len(apart), len(per_call)))
     ]
-    return it.Settings(
-        categories=categories,
+    return interface.Settings(
+        callback_classes=categories,
         tenants=tenants,
         kinds=kinds,
         zone_fees=row("extra.feeByZone", real),
-        relays=get("balancers", whole, 1),
-        slots=get("extra.maxCalls", whole, 1),
-        max_held=get("allowed.maxOpen", whole, None),
-        max_launches=get("allowed.maxAttempts", whole, 1),
-        tells_return=get("allowed.retryAfter", flag, False),
-        max_return=get("allowed.maxRetryAfterMs", nanos, 0),
+        relay_count=get("balancers", whole, 1),
+        max_calls=get("extra.maxCalls", whole, 1),
+        max_pending=get("allowed.maxOpen", whole, None),
+        max_attempts=get("allowed.maxAttempts", whole, 1),
+        sends_retry_after=get("allowed.retryAfter", flag, False),
+        max_retry_after=get("allowed.maxRetryAfterMs", nanos, 0),
         list_on_request=given.get("discovery") == "on_request",
-        halving=given.get("extra.fades") == "halving",
-        over_share_payoff=get("overShareWorth", real, 1.0),
-        units_are_rates=given.get("weightSource") in ("nominal", "rough"),
-        fall_span=get("guarantees.fallMs", nanos, None),
-        fall_multiple=get("guarantees.tipMultiple", real, None),
-        cold_from=get("guarantees.coldFrom", real, None),
-        ramp_time=get("guarantees.rampTimeMs", nanos, None),
+        value_halves=given.get("extra.fades") == "halving",
+        over_quota_value_factor=get("overShareWorth", real, 1.0),
+        weights_are_rates=given.get("weightSource") in ("nominal", "rough"),
+        overload_span=get("guarantees.fallMs", nanos, None),
+        overload_multiple=get("guarantees.tipMultiple", real, None),
+        cold_capacity_share=get("guarantees.coldFrom", real, None),
+        slow_start_time=get("guarantees.rampTimeMs", nanos, None),
         connection_idle=get("allowed.connIdleMs", nanos, 0),
-        tells_limit=limit_places(given) is not None and given.get("telemetry.how") == "piggyback",
-        settle=get("guarantees.settleAfterDoubtMs", nanos, 0),
+        limits_are_advertised=limit_places(given) is not None
+        and given.get("telemetry.how") == "piggyback",
+        key_cooldown=get("guarantees.settleAfterDoubtMs", nanos, 0),
     )
 
 
@@ -248,7 +257,7 @@
     discovery: tuple[str, int]
     state: str
     seed: int
-    settings: it.Settings
+    settings: interface.Settings
     categories: dict[str, int]  # by the name that a client gives
     tenants: dict[str, int]
     zones: dict[str, int]
@@ -483,9 +492,9 @@
     pairs = flat(nested)
     reader, limit = Reader(pairs, "settings."), Reader(flat(limits), "limits.")
     made = settings(pairs, "settings.")
-    if not made.categories:
+    if not made.callback_classes:
         raise ConfigError("settings.grades: no class of message is given")
-    if len(names(nested, "grades")) != len(made.categories):
+    if len(names(nested, "grades")) != len(made.callback_classes):
         raise ConfigError("settings.grades: two classes have one name")
     for n, row in enumerate(part_list(nested, "grades")):
         check_class(row, f"settings.grades.{n}.")
@@ -517,7 +526,7 @@
         - (1 if traced else 0)
     )
     # Half is for calls and idle connections to hosts, and a slot's worth at least; a quarter at least for clients.
-    outgoing = min(max(made.slots + OUTGOING, most // 2), most * 3 // 4)
+    outgoing = min(max(made.max_calls + OUTGOING, most // 2), most * 3 // 4)
     disk, memory = limit.get("disk_mb", real, DISK_MB), limit.get("memory_mb", real, MEMORY_MB)
     for key, value in (("disk_mb", disk), ("memory_mb", memory)):
         if not 0 < value < 1e9:
@@ -536,7 +545,7 @@
             made,
             list_on_request=True,
             # no more calls than can have a connection
-            slots=min(made.slots, outgoing - OUTGOING),
+            max_calls=min(made.max_calls, outgoing - OUTGOING),
             connection_idle=max(
                 0, made.connection_idle - max(made.connection_idle // 10, IDLE_MARGIN)
             ),
@@ -593,7 +602,7 @@
     new.settings = replace(
         new.settings,
         **{name: getattr(old.settings, name) for name in BOUND},
-        slots=min(new.settings.slots, old.sockets - old.client_sockets - OUTGOING),
+        max_calls=min(new.settings.max_calls, old.sockets - old.client_sockets - OUTGOING),
     )
     for name in AT_ONCE:
         setattr(old, name, getattr(new, name))
--- a/molehill/core/classes.py
+++ b/molehill/core/classes.py
@@ -6,7 +6,7 @@
 
 from dataclasses import astuple
 
-from molehill import interface as it
+from molehill import interface
 
 
 class Classes:
@@ -17,7 +17,7 @@
         # number in the log as it is read -> name and row
         self.logged: dict[int, tuple] = {}
 
-    def number(self, name: str, row: it.Category, used) -> int:
+    def number(self, name: str, row: interface.CallbackClass, used) -> int:
         """That of this name with just this row; one that neither `used` nor the settings need is given anew."""
         for n, known in enumerate(zip(self.names, self.rows)):
             if known == (name, row):
@@ -47,7 +47,10 @@
     def read(self, record) -> None:
         """A record of the log: what its number means in the records behind it."""
         effect, *rest = record["row"]
-        self.logged[record["n"]] = record["name"], it.Category(it.Effect(effect), *rest)
+        self.logged[record["n"]] = (
+            record["name"],
+            interface.CallbackClass(interface.DeliverySemantics(effect), *rest),
+        )
 
     def read_number(self, n: int) -> int:
         """What a number of the log means; an older log has no such records, and its numbers are the settings' own."""
--- a/molehill/core/events.py
+++ b/molehill/core/events.py
@@ -4,7 +4,7 @@
 from hashlib import blake2b
 from typing import Optional
 
-from molehill import interface as it
+from molehill import interface
 from molehill.core.permission import Refusal
 
 
@@ -34,7 +34,7 @@
     zone: int
     kind: int
     destination: int
-    condition: it.Condition
+    condition: interface.Condition
     units: float
     zone_name: str = ""
     kind_name: str = ""
@@ -45,7 +45,7 @@
     """What became of one callback of a call."""
 
     id: str
-    result: it.Result
+    result: interface.Result
     wait: int = 0
     closed: bool = False
     spent: bool = False
@@ -125,7 +125,7 @@
 
 @dataclass(slots=True)
 class Listed:
-    scope: it.Scope
+    scope: interface.ListScope
     hosts: list[Host] = field(default_factory=list)
     version: Optional[int] = (
         None  # of the list that was told; None: not told by discovery or a list of its form
@@ -161,7 +161,7 @@
 
 @dataclass(slots=True)
 class Retuned:  # new settings; `names`: their categories', in order
-    settings: it.Settings
+    settings: interface.Settings
     names: list[str]
 
 
--- a/molehill/core/host_list.py
+++ b/molehill/core/host_list.py
@@ -7,14 +7,14 @@
 from dataclasses import dataclass, field
 from typing import Iterable, NamedTuple, Optional
 
-from molehill import interface as it
+from molehill import interface
 
 STATUS = {
-    it.Condition.UP: "active",
-    it.Condition.DRAINING: "leaving",
-    it.Condition.GONE: "left",
+    interface.Condition.UP: "active",
+    interface.Condition.DRAINING: "leaving",
+    interface.Condition.GONE: "left",
 }
-ACTIVE, LEFT = STATUS[it.Condition.UP], STATUS[it.Condition.GONE]
+ACTIVE, LEFT = STATUS[interface.Condition.UP], STATUS[interface.Condition.GONE]
 # how far a status is from active: of two lists that may each be the newer one, the further counts
 SEVERITY = {ACTIVE: 0, "leaving": 1, LEFT: 2}
 ROW_ROOM = 60  # bytes of a row in the log beside its texts
--- a/molehill/core/host_table.py
+++ b/molehill/core/host_table.py
@@ -5,7 +5,7 @@
 
 from typing import Any, Iterable, Iterator, NamedTuple, Optional
 
-from molehill import interface as it
+from molehill import interface
 from molehill.config import SECOND
 from molehill.core import events as ev
 from molehill.core.figures import Figures
@@ -64,8 +64,8 @@
     def _show(self, number: str) -> None:
         """Keeps the gauges of the list: what of this host counts in them now."""
         host = self.known.get(number)
-        listed = host is not None and host.condition is not it.Condition.GONE
-        serving = host is not None and host.condition is it.Condition.UP
+        listed = host is not None and host.condition is not interface.Condition.GONE
+        serving = host is not None and host.condition is interface.Condition.UP
         avoided = listed and (not serving or self.away.get(number, 0) is None)
         before = self.shown.get(number, Shown())
         self.figures.registry_entries += listed - before.listed
@@ -80,13 +80,13 @@
         if whole:
             named = {host.id for host in hosts}
             for host in [host for host in self.known.values() if host.id not in named]:
-                host.condition = it.Condition.GONE
+                host.condition = interface.Condition.GONE
                 self._show(host.id)
         useless = []
         for host in hosts:
             before = self.known.get(host.id, host)
             self.known[host.id] = host
-            if host.condition is it.Condition.GONE or before.address != host.address:
+            if host.condition is interface.Condition.GONE or before.address != host.address:
                 useless.append(host.id)
             self._show(host.id)
         return useless
@@ -99,7 +99,7 @@
         """Drops what is kept of hosts that left long ago and are not `busy`; waits and ramps that are over."""
         for number in [*self.known, *self.away]:
             host = self.known.get(number)
-            listed = host is not None and host.condition is not it.Condition.GONE
+            listed = host is not None and host.condition is not interface.Condition.GONE
             if number in busy or listed:
                 self.left.pop(number, None)
             elif now - self.left.setdefault(number, now) > LEFT_KEPT:
--- a/molehill/core/permission.py
+++ b/molehill/core/permission.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from typing import Optional
 
-from molehill import interface as it
+from molehill import interface
 
 
 class Refusal(Enum):
@@ -51,18 +51,18 @@
 )
 
 
-def of_repeat(callback, category: it.Category, now: int) -> Optional[Refusal]:
+def of_repeat(callback, category: interface.CallbackClass, now: int) -> Optional[Refusal]:
     """Why it may not run once more now; None: it may, or nothing of it may have run. Rule 2."""
-    if callback.ran_at is None or category.effect is it.Effect.IDEMPOTENT:
+    if callback.ran_at is None or category.semantics is interface.DeliverySemantics.IDEMPOTENT:
         return None
-    if category.effect is it.Effect.AT_MOST_ONCE:
+    if category.semantics is interface.DeliverySemantics.AT_MOST_ONCE:
         return Refusal.MAY_HAVE_RUN
-    return Refusal.WINDOW_OVER if now >= callback.ran_at + category.window else None
+    return Refusal.WINDOW_OVER if now >= callback.ran_at + category.deduplication_window else None
 
 
 def of_route(host, wait_until: int, now: int) -> Optional[Refusal]:
     """Why nothing may go to that host now. Rules 3 and 6."""
-    if host.condition is not it.Condition.UP:
+    if host.condition is not interface.Condition.UP:
         return Refusal.HOST_NOT_UP
     return Refusal.TOLD_TO_WAIT if now < wait_until else None
 
--- a/molehill/core/recovery.py
+++ b/molehill/core/recovery.py
@@ -3,7 +3,7 @@
 import re
 from typing import Iterator
 
-from molehill import interface as it
+from molehill import interface
 from molehill.core import events as ev
 from molehill.core.callback import ARRIVED, HELD, OVER, OWED, Callback
 from molehill.interface import Result
@@ -78,7 +78,7 @@
     def _load_end(self, record):
         for number, result, over, unsent in record["ends"]:
             for callback in self.core.known([number]):
-                if Result(result).may_run_still and callback.sent is not None:
+                if Result(result).may_still_run and callback.sent is not None:
                     self.core.final_notices.recovered(callback, callback.sent[0])
                 self.core.settle_launch(callback, Result(result), record["at"], unsent)
                 if over:
@@ -127,9 +127,11 @@
             callback.sent = LONG_AGO, None
 
     def _looks_untried(self, callback) -> bool:
-        effect = self.core.set.categories[callback.category].effect
+        effect = self.core.set.callback_classes[callback.category].semantics
         return (
-            callback.sent is None and callback.ran_at is None and effect is not it.Effect.IDEMPOTENT
+            callback.sent is None
+            and callback.ran_at is None
+            and effect is not interface.DeliverySemantics.IDEMPOTENT
         )
 
 
@@ -157,7 +159,7 @@
         yield {"k": "rest", "key": key, "until": until}, b""
     for host, until in core.hosts.away.items():
         if core.hosts.is_away(host, core.now):
-            at = until and until - (core.set.ramp_time or 0)
+            at = until and until - (core.set.slow_start_time or 0)
             yield {"k": "health", "host": host, "away": until is None, "at": at}, b""
     if core.told.version is not None:
         yield {"k": "list", **core.told.record(core.told.rows.values())}, b""
--- a/molehill/core/reducer.py
+++ b/molehill/core/reducer.py
@@ -11,7 +11,7 @@
 from heapq import heappop, heappush
 from typing import Optional
 
-from molehill import interface as it
+from molehill import interface
 from molehill.config import CONNECT_TIME_OUT, MS
 from molehill.core import events as ev
 from molehill.core import permission, recovery
@@ -23,8 +23,8 @@
 from molehill.core.host_table import HostTable
 from molehill.core.permission import Refusal
 from molehill.core.recent_ids import RecentIds
-from molehill.holds import holds
 from molehill.interface import Result
+from molehill.invariants import check_invariant
 
 TAKEN_ON, DENIED, FAILED = 202, 503, 500  # answers to clients
 
@@ -45,10 +45,10 @@
         `connect_time_out`: as of core/final_notices.py."""
         self.final_notices = FinalNotices(connect_time_out)
         self.seed, self.make_module, self.log_room = seed, make_module, log_room
-        names = [str(n) for n in range(len(settings.categories))] if names is None else names
-        self.classes, self.figures = Classes(names, settings.categories), Figures(names)
+        names = [str(n) for n in range(len(settings.callback_classes))] if names is None else names
+        self.classes, self.figures = Classes(names, settings.callback_classes), Figures(names)
         # one list: the module reads the same rows
-        self.set = replace(settings, categories=self.classes.rows)
+        self.set = replace(settings, callback_classes=self.classes.rows)
         self.told = ToldList()  # the list of hosts as the log has it
         self.restarted = False  # the log is an earlier process's, which handed nothing over
         self.inherited = False  # an earlier process handed over
@@ -101,7 +101,7 @@
             self.on[type(event)](event)
         # a fault here or in the module: made anew as after a restart, nothing is lost
         except Exception as error:
-            holds(False, "reduce", what=type(event).__name__, error=repr(error))
+            check_invariant(False, "reduce", what=type(event).__name__, error=repr(error))
             self._start_again()
         return self.effects
 
@@ -139,7 +139,7 @@
 
     def set_health(self, host, away, at):
         """It was closed, or answers again since `at`."""
-        ramp_over = None if away else at + (self.set.ramp_time or 0)
+        ramp_over = None if away else at + (self.set.slow_start_time or 0)
         self.hosts.set_health(host, ramp_over)
 
     def known(self, ids):
@@ -150,11 +150,13 @@
     def move(self, callback, state):
         """Every change of a callback's state."""
         before = callback.state
-        holds(state in NEXT[before], "callback_state", id=callback.id, before=before, after=state)
+        check_invariant(
+            state in NEXT[before], "callback_state", id=callback.id, before=before, after=state
+        )
         callback.state = state
         if before is None:
             self.used += callback.room
-            if callback.key is not None and self.set.categories[callback.category].ordered:
+            if callback.key is not None and self.set.callback_classes[callback.category].ordered:
                 self.by_key.setdefault(callback.key, {})[callback.id] = callback
         self.open += (state in (ARRIVED, TAKEN, HELD)) - (before in (ARRIVED, TAKEN, HELD))
         self.figures.open_requests += (state in (TAKEN, HELD)) - (before in (TAKEN, HELD))
@@ -210,7 +212,7 @@
             self.effects.append(ev.Answer(client, known.id, TAKEN_ON))
 
     def _new_arrived(self, callback, client):
-        full = self.set.max_held is not None and self.open >= self.set.max_held
+        full = self.set.max_pending is not None and self.open >= self.set.max_pending
         if full or self.used + self.told.room + callback.room > self.log_room:
             self._count(callback, THROTTLED)
             self.refused.add(callback.id, (callback.contents, DENIED))
@@ -240,7 +242,7 @@
         """Tells the module of a callback, with all that an earlier process or module did with it."""
         rests = self.rests.get(c.key, 0) if c.key is not None else 0
         self.inbox.append(
-            it.NewCallback(
+            interface.NewCallback(
                 c.id,
                 c.category,
                 c.tenant,
@@ -279,7 +281,7 @@
 
     def _withdraw(self, callback, logged=True):
         """Nobody was told that it is taken on: it is the client's again."""
-        self.inbox.append(it.Withdrawn(callback.id))
+        self.inbox.append(interface.CallbackWithdrawn(callback.id))
         if logged:
             self._log("over", ids=[callback.id])
         self.move(callback, OVER)
@@ -369,15 +371,15 @@
         self._ring(batch)
         if self.wake_at is not None and self.wake_at <= now:
             self.wake_at = None
-            batch.append(it.Timer("wake"))
+            batch.append(interface.TimerExpired("wake"))
         actions = self.module.step(now, batch)
-        ended = {a.callback for a in actions if type(a) in (it.Reject, it.Fail)}
+        ended = {a.callback for a in actions if type(a) in (interface.Reject, interface.Fail)}
         for event in batch:
-            if type(event) is it.NewCallback and event.callback not in ended:
+            if type(event) is interface.NewCallback and event.callback not in ended:
                 self._take_on(event.callback)
         for action in actions:
             self._carry_out(action)
-        launches = [action for action in actions if type(action) is it.Launch]
+        launches = [action for action in actions if type(action) is interface.StartAttempt]
         self._park(launches)
         self._release()
         self._guard()
@@ -393,35 +395,39 @@
     def _carry_out(self, action):
         """One action of the module that is no launch."""
         kind = type(action)
-        if kind is it.Wake:
-            self.wake_at = self.now + action.span
-        elif kind is it.FollowList:
+        if kind is interface.SetTimer:
+            self.wake_at = self.now + action.delay
+        elif kind is interface.WatchHostList:
             self.effects.append(ev.Watch())
-        elif kind is it.CloseIdle:
+        elif kind is interface.CloseIdle:
             self.effects.append(ev.CloseIdle(action.host))
-        elif kind is it.Health:
-            self.set_health(action.host, action.away, self.now)
-            self._log("health", host=action.host, away=action.away, at=self.now)
+        elif kind is interface.ReportHealth:
+            self.set_health(action.host, action.ejected, self.now)
+            self._log("health", host=action.host, away=action.ejected, at=self.now)
             self.effects.append(ev.Say(action.text))
-        elif kind in (it.Reject, it.Fail) and action.callback in self.held:
-            denied = kind is it.Reject
-            wait = action.come_back if denied else 0
+        elif kind in (interface.Reject, interface.Fail) and action.callback in self.held:
+            denied = kind is interface.Reject
+            wait = action.retry_after if denied else 0
             self._end_callback(self.held[action.callback], denied, wait)
 
     def _park(self, launches):
         """Launches become calls, as many callbacks in each as its host takes."""
         by_host = {}
         for launch in launches:
-            by_host.setdefault(launch.host, []).append((launch.callback, launch.time_out))
+            by_host.setdefault(launch.host, []).append((launch.callback, launch.timeout))
         for host, spans in by_host.items():
-            size = self._kind(self.hosts[host]).per_call
+            size = self._kind(self.hosts[host]).callbacks_per_call
             for at in range(0, len(spans), size):
                 self.serial += 1
                 call = PendingCall(self.serial, host, spans[at : at + size], self.now)
                 self.parked[self.serial] = call
 
     def _kind(self, host):
-        return self.set.kinds[host.kind] if host.kind < len(self.set.kinds) else it.Kind(False, 1)
+        return (
+            self.set.kinds[host.kind]
+            if host.kind < len(self.set.kinds)
+            else interface.HostKind(False, 1)
+        )
 
     def _ring(self, batch):
         """Parked calls whose time is up."""
@@ -449,9 +455,9 @@
             if callback.call is not None and not again:
                 heappush(self.guards, (self.now + self.GUARD // 2, number, True))
                 continue
-            holds(False, "ended_in_time", id=number, out=callback.call is not None)
+            check_invariant(False, "ended_in_time", id=number, out=callback.call is not None)
             self._end_callback(callback, False, 0)
-            self.inbox.append(it.Withdrawn(number))
+            self.inbox.append(interface.CallbackWithdrawn(number))
 
     PARKED = 1000 * MS  # while notices go unanswered: then others may have the slot
 
@@ -484,7 +490,9 @@
                 members.append(ev.Member(c.id, c.mark, c.body, min(out.since + span, c.due)))
         out.until = min(member.until for member in members)
         self.effects.append(
-            ev.Call(out.number, host.id, host.address, self._kind(host).per_call > 1, members)
+            ev.Call(
+                out.number, host.id, host.address, self._kind(host).callbacks_per_call > 1, members
+            )
         )
 
     def _begun(self, event):
@@ -510,7 +518,7 @@
             )
 
     def _route(self, host):
-        return host.id if self._kind(host).apart else host.destination
+        return host.id if self._kind(host).separate_routes else host.destination
 
     def _may_begin(self, callback, host) -> bool:
         """Whether a call of it may be begun there now."""
@@ -526,7 +534,7 @@
         """Counts and logs why a callback that was chosen for a host did not go there."""
         self.refusals[why] += 1
         self.figures.not_sent[why] += 1
-        holds(not why.is_fault, "may_be_sent", id=number, why=why.value)
+        check_invariant(not why.is_fault, "may_be_sent", id=number, why=why.value)
         callback = self.held.get(number)
         told = ev.NotSent(number, host, why)
         if callback is not None:
@@ -544,7 +552,7 @@
     def _of_host(self, callback, host, now) -> Optional[Refusal]:
         return permission.of_route(
             host, self.hosts.waits.get(self._route(host), 0), now
-        ) or permission.of_repeat(callback, self.set.categories[callback.category], now)
+        ) or permission.of_repeat(callback, self.set.callback_classes[callback.category], now)
 
     def refusal(self, number, now) -> Optional[Refusal]:
         """Why that call may not be written any more, or None. Changes nothing.
@@ -568,7 +576,7 @@
     def _unpark(self, out, ids):
         """Launches that never left the relay."""
         self.inbox += [
-            it.Outcome(number, 0, out.host, Result.NOT_SENT, 0, 0, False, unsent=True)
+            interface.Outcome(number, 0, out.host, Result.NOT_SENT, 0, 0, False, unsent=True)
             for number in ids
         ]
         out.ids = [number for number in out.ids if number not in ids]
@@ -581,15 +589,17 @@
         callback.launches -= unsent
         if sent is not None and result.may_have_run and callback.ran_at is None:
             callback.ran_at, callback.ran_zone = sent
-        if result.may_run_still and callback.key is not None and self.set.settle:
-            self.rests[callback.key] = max(self.rests.get(callback.key, 0), at + self.set.settle)
+        if result.may_still_run and callback.key is not None and self.set.key_cooldown:
+            self.rests[callback.key] = max(
+                self.rests.get(callback.key, 0), at + self.set.key_cooldown
+            )
 
     def _ended(self, event):
         out = self.calls.get(event.call)
-        if not holds(out is not None, "end_of_a_call_that_is_out", call=event.call):
+        if not check_invariant(out is not None, "end_of_a_call_that_is_out", call=event.call):
             return
         ends = [end for end in event.ends if end.id in out.ids]
-        holds(len(ends) == len(event.ends), "one_outcome_each", call=event.call)
+        check_invariant(len(ends) == len(event.ends), "one_outcome_each", call=event.call)
         # it counts as a launch, if one that never ran
         if not out.begun and any(not end.unsent for end in ends):
             self._log_launch(out)
@@ -613,7 +623,7 @@
         if callback is None or callback.call != out.number:
             self._tell_outcome(out, end, event, closed=True, launches=1)
             return None
-        launches, doubt = callback.launches, end.result.may_run_still
+        launches, doubt = callback.launches, end.result.may_still_run
         self.final_notices.call_ended(
             callback, out.number, event.written_at, event.unread_until, doubt
         )
@@ -628,7 +638,7 @@
     def _tell_outcome(self, out, end, event, closed: bool, launches: int) -> None:
         """The decision module is to hear of it; `launches` of the callback, with this one."""
         self.inbox.append(
-            it.Outcome(
+            interface.Outcome(
                 end.id,
                 launches - 1,
                 out.host,
@@ -639,7 +649,7 @@
                 event.told_rate,
                 end.spent,
                 end.unsent,
-                told_left=event.told_left,
+                advertised_share_left=event.told_left,
             )
         )
 
@@ -654,8 +664,8 @@
     # The list, the start and the end
 
     def _listed(self, event):
-        if event.scope is not it.Scope.FAILED:
-            whole = event.scope is not it.Scope.UPDATE
+        if event.scope is not interface.ListScope.FAILED:
+            whole = event.scope is not interface.ListScope.UPDATE
             changed = self.told.take(event.hosts, whole, event.version, event.source)
             # before anything of it is acted on; danger: the next process knows only what is written
             if changed:
@@ -664,14 +674,14 @@
             self.effects += [ev.CloseIdle(host) for host in useless]
         busy = {out.host for out in (*self.calls.values(), *self.parked.values())}
         self.hosts.forget(busy, self.now)
-        if event.scope is not it.Scope.RESTORED and self.list_by is not None:
+        if event.scope is not interface.ListScope.RESTORED and self.list_by is not None:
             self.list_by = None
             self._release()
         self.inbox.append(
-            it.ListNews(
+            interface.HostListUpdate(
                 event.scope,
                 [
-                    it.HostEntry(
+                    interface.HostEntry(
                         h.id,
                         h.zone,
                         h.kind,
@@ -688,12 +698,12 @@
     def _retuned(self, event):
         """New settings. What is held keeps its category, also over a restart; the module hears of it with the next step."""
         self.classes.renew(
-            event.names, event.settings.categories, {c.category for c in self.held.values()}
+            event.names, event.settings.callback_classes, {c.category for c in self.held.values()}
         )
-        self.set = replace(event.settings, categories=self.classes.rows)
+        self.set = replace(event.settings, callback_classes=self.classes.rows)
         self.figures.name(event.names)
         self.effects += [ev.Append(record) for record in self.classes.records()]
-        self.inbox.append(it.NewSettings(self.set))
+        self.inbox.append(interface.NewSettings(self.set))
 
     # many times what discovery takes to answer; what waits so long loses little of its time
     LIST_WITHIN = 300 * MS
@@ -717,7 +727,7 @@
         if not self.inherited:
             self.final_notices.started(self.held.values(), self.now)
         for key in self.unsettled:
-            self.rests[key] = max(self.rests.get(key, 0), self.now + self.set.settle)
+            self.rests[key] = max(self.rests.get(key, 0), self.now + self.set.key_cooldown)
         self.unsettled = {}
         # danger: the next process, after another kill, would not know of the rest that these keys have now
         if out:
@@ -739,7 +749,7 @@
 
     def estate(self):
         """What the log does not tell, for `Inherited` in the next process, as plain data."""
-        return {"waits": list(self.hosts.waits.items())}, self.module.learnt()
+        return {"waits": list(self.hosts.waits.items())}, self.module.learned_state()
 
     def _inherited(self, event):
         """Danger: a call that goes on with the next process, taken for ended, has its callback run twice."""
@@ -747,7 +757,7 @@
         for number, host, ids, start, until in event.calls:
             out = PendingCall(number, host, [(i, 0) for i in ids], start, begun=True)
             out.until, self.calls[number] = until, out
-            self.under[number] = it.Underway(number, host, start, until - start)
+            self.under[number] = interface.HandedOverCall(number, host, start, until - start)
             self.serial = max(self.serial, number)
             for callback in self.known(ids):
                 callback.call = number
@@ -766,7 +776,7 @@
                 at=self.now,
             )
         self.hosts.waits.update(event.waits)
-        self.inbox.append(it.Learnt(event.learnt))
+        self.inbox.append(interface.LearnedState(event.learnt))
 
     def _start_again(self):
         """The same after the module or this code broke, with this process's calls given up first."""
@@ -787,13 +797,13 @@
         self.calls, self.parked, self.inbox, self.wake_at, self.guards = {}, {}, [], None, []
         self.seed += 1
         self.module = self.make_module(self.set, self.seed)
-        self._listed(ev.Listed(it.Scope.RESTORED, list(self.hosts.values())))
+        self._listed(ev.Listed(interface.ListScope.RESTORED, list(self.hosts.values())))
         for callback in self.held.values():
             if callback.state is not OWED:
                 self._hand_over(callback)
         if self.stop_at is not None:
-            self.inbox.append(it.Stopping(self.stop_at))
+            self.inbox.append(interface.RelayStopping(self.stop_at))
 
     def _stop(self, event):
         self.stop_at = event.at
-        self.inbox.append(it.Stopping(event.at))
+        self.inbox.append(interface.RelayStopping(event.at))
--- a/molehill/decisions/admission.py
+++ b/molehill/decisions/admission.py
@@ -2,15 +2,15 @@
 
 from math import log2
 
-from molehill import interface as it
-from molehill.decisions.callback import OUT, WAITING, WAITING_FOR_KEY, Callback
-from molehill.decisions.endpoint import Attempt
+from molehill import interface
+from molehill.decisions.callback import IN_FLIGHT, WAITING_FOR_KEY, WAITING_STATES, Callback
+from molehill.decisions.endpoint import Call
 from molehill.decisions.lifecycle import Lifecycle
 from molehill.decisions.limiter import SECOND
 from molehill.decisions.state import State
 from molehill.decisions.tenant_quotas import TenantQuotas
 
-ROOM_SHARE = 16  # of what may be held: what may come in one batch
+RESERVE_DIVISOR = 16  # of what may be held: what may come in one batch
 
 
 class Admission:
@@ -18,78 +18,101 @@
 
     def __init__(self, state: State, lifecycle: Lifecycle) -> None:
         self.state, self.lifecycle = state, lifecycle
-        self.quotas = TenantQuotas(len(state.settings.tenants))
-        self.joined: dict[int, Attempt] = {}  # calls of an earlier process, as told in this step
+        self.tenant_quotas = TenantQuotas(len(state.settings.tenants))
+        self.handed_over_calls: dict[
+            int, Call
+        ] = {}  # calls of an earlier process, as told in this step
 
-    def take_on(self, new: it.NewCallback) -> None:
+    def accept(self, new_callback: interface.NewCallback) -> None:
         """One callback that came, or that an earlier process or module had taken on."""
         state = self.state
-        known = state.destinations.get(new.destination)
+        known_destination = state.destinations.get(new_callback.destination)
         # Danger: a start while discovery is down knows old hosts or none. What was taken on before is not turned away for
         # that, nor for what came with it in this one moment: it had its place and its share when it came.
-        if not new.taken and (known is None or not known.known):
-            state.actions.append(it.Reject(new.callback, self.lifecycle.return_after()))
+        if not new_callback.already_accepted and (
+            known_destination is None or not known_destination.known_endpoint_count
+        ):
+            state.actions.append(
+                interface.Reject(new_callback.callback, self.lifecycle.reject_retry_after())
+            )
             return
-        callback = self._made(new)
-        state.held[callback.id] = callback
-        if callback.category.ordered and new.key is not None:
-            self.lifecycle.add_to_key(callback, new.key)
-            if new.rests_until > state.now:
-                self.lifecycle.rest_key(new.key, new.rests_until)
-        if new.ran_at is not None:
-            self.lifecycle.set_may_have_run(callback, new.ran_at, new.ran_zone)
-        if new.under:
-            self._join(callback, new.under)
+        callback = self._make_callback(new_callback)
+        state.callbacks_by_id[callback.id] = callback
+        if callback.callback_class.ordered and new_callback.key is not None:
+            self.lifecycle.add_to_key(callback, new_callback.key)
+            if new_callback.key_cooldown_until > state.now:
+                self.lifecycle.start_key_cooldown(new_callback.key, new_callback.key_cooldown_until)
+        if new_callback.may_have_run_at is not None:
+            self.lifecycle.mark_may_have_run(
+                callback, new_callback.may_have_run_at, new_callback.may_have_run_zone
+            )
+        if new_callback.handed_over_call:
+            self._join_call(callback, new_callback.handed_over_call)
         else:
-            self.lifecycle.move(callback, WAITING_FOR_KEY)
-        state.destination(callback.destination).count_request(state.now)
-        callback.kept = new.taken and not new.launches
-        if not new.taken:
+            self.lifecycle.set_state(callback, WAITING_FOR_KEY)
+        state.ensure_destination(callback.destination).count_callback(state.now)
+        callback.untried_at_restart = new_callback.already_accepted and not new_callback.attempts
+        if not new_callback.already_accepted:
             self._make_room()
-        time_up = callback.due if self.lifecycle.may_launch(callback) else state.now
-        state.at(time_up, self.lifecycle.time_up, callback.id)
-        self.lifecycle.next_of_key(callback.key)
+        check_at = callback.deadline if self.lifecycle.may_attempt(callback) else state.now
+        state.schedule(check_at, self.lifecycle.check_deadline, callback.id)
+        self.lifecycle.advance_key(callback.key)
 
-    def _made(self, new: it.NewCallback) -> Callback:
+    def _make_callback(self, new_callback: interface.NewCallback) -> Callback:
         settings = self.state.settings
-        category = settings.categories[new.category]
-        over = not new.taken and self.quotas.is_over(settings, new.tenant, self.state.now)
-        share = settings.over_share_payoff if over else 1.0
-        callback = Callback(new, category, category.payoff * share, over)
-        if settings.halving and category.late_share > 0.0:  # its payoff falls no more from then on
-            callback.stale = callback.goal - int(category.goal * log2(category.late_share))
+        callback_class = settings.callback_classes[new_callback.callback_class]
+        over_quota = not new_callback.already_accepted and self.tenant_quotas.is_over_quota(
+            settings, new_callback.tenant, self.state.now
+        )
+        value_factor = settings.over_quota_value_factor if over_quota else 1.0
+        callback = Callback(
+            new_callback, callback_class, callback_class.value * value_factor, over_quota
+        )
+        if (
+            settings.value_halves and callback_class.late_value_share > 0.0
+        ):  # its payoff falls no more from then on
+            callback.value_floor_at = callback.target_time - int(
+                callback_class.target_latency * log2(callback_class.late_value_share)
+            )
         return callback
 
-    def _join(self, callback: Callback, under: it.Underway) -> None:
+    def _join_call(self, callback: Callback, handed_over_call: interface.HandedOverCall) -> None:
         """Its launch by an earlier process is out, and its outcome comes here."""
-        endpoint = self.state.endpoints[under.host]
-        attempt = self.joined.setdefault(
-            under.number, Attempt(endpoint, under.sent, under.time_out)
+        endpoint = self.state.endpoints[handed_over_call.host]
+        call = self.handed_over_calls.setdefault(
+            handed_over_call.number,
+            Call(endpoint, handed_over_call.sent_at, handed_over_call.timeout),
         )
-        callback.attempt = attempt
-        if attempt.callbacks == 0:
+        callback.call = call
+        if call.pending_callbacks == 0:
             self.state.count_calls(endpoint, 1)
-        attempt.callbacks += 1
-        self.lifecycle.move(callback, OUT)
+        call.pending_callbacks += 1
+        self.lifecycle.set_state(callback, IN_FLIGHT)
 
     def _make_room(self) -> None:
         """Danger: callbacks for a strained destination fill the relay, newcomers for healthy ones are turned away
         at its door. While it is nearly full, what holds a place for the least payoff gives way at once; but not what
         a restart found untried."""
-        most, held = self.state.settings.max_held, self.state.held
-        if most is None or len(held) < most - most // ROOM_SHARE:
+        limit, callbacks = self.state.settings.max_pending, self.state.callbacks_by_id
+        if limit is None or len(callbacks) < limit - limit // RESERVE_DIVISOR:
             return
-        waiting = [c for c in held.values() if c.state in WAITING and (c.launches or not c.kept)]
+        waiting = [
+            c
+            for c in callbacks.values()
+            if c.state in WAITING_STATES and (c.attempts or not c.untried_at_restart)
+        ]
         if waiting:
-            self.lifecycle.give_up(min(waiting, key=self._worth_of_place))
+            self.lifecycle.give_up(min(waiting, key=self._value_per_time))
 
-    def _worth_of_place(self, callback: Callback) -> float:
+    def _value_per_time(self, callback: Callback) -> float:
         """Payoff when its turn comes, as things look, for the time that it takes a place."""
         state = self.state
-        destination, at = state.destination(callback.destination), callback.due
+        destination, delivery_at = state.ensure_destination(callback.destination), callback.deadline
         for endpoint in destination.endpoints:
             limiter = endpoint.limiter
-            turn = destination.waiting * (limiter.latency or SECOND) / limiter.window
-            free_at = max(state.now, limiter.paused_until, endpoint.next_call_at)
-            at = min(at, free_at + int(turn))
-        return callback.worth(at, state.settings.halving) / (at - state.now + SECOND)
+            queueing_time = destination.waiting_count * (limiter.latency or SECOND) / limiter.window
+            available_at = max(state.now, limiter.paused_until, endpoint.next_call_at)
+            delivery_at = min(delivery_at, available_at + int(queueing_time))
+        return callback.value_at(delivery_at, state.settings.value_halves) / (
+            delivery_at - state.now + SECOND
+        )
--- a/molehill/decisions/callback.py
+++ b/molehill/decisions/callback.py
@@ -2,56 +2,68 @@
 
 from typing import TYPE_CHECKING, Optional
 
-from molehill import interface as it
-from molehill.interface import Effect
+from molehill import interface
+from molehill.interface import DeliverySemantics
 
 if TYPE_CHECKING:
-    from molehill.decisions.endpoint import Attempt
+    from molehill.decisions.endpoint import Call
 
-# WAITING_FOR_KEY: an earlier one of its key is not over, or the key rests; QUEUED: may be launched; OUT: a launch has no
-# outcome yet; OVER: it has its final answer.
-WAITING_FOR_KEY, QUEUED, OUT, OVER = "turn", "queued", "out", "over"
-WAITING = (WAITING_FOR_KEY, QUEUED)
+# WAITING_FOR_KEY: an earlier one of its key is not over, or the key rests; QUEUED: may be launched; IN_FLIGHT: a launch has no
+# outcome yet; COMPLETED: it has its final answer.
+WAITING_FOR_KEY, QUEUED, IN_FLIGHT, COMPLETED = "turn", "queued", "out", "over"
+WAITING_STATES = (WAITING_FOR_KEY, QUEUED)
 
 
 class Callback:
     """One callback from its arrival to its final answer. All times are nanoseconds of the relay's clock."""
 
     def __init__(
-        self, new: it.NewCallback, category: it.Category, payoff: float, over_share: bool
+        self,
+        new_callback: interface.NewCallback,
+        callback_class: interface.CallbackClass,
+        value: float,
+        over_quota: bool,
     ) -> None:
-        """`new`: as it was taken on; `category`: its settings; `over_share`: beyond its tenant's quota."""
-        self.id = new.callback
-        self.category = category
-        self.payoff = payoff
-        self.lane = (new.category, over_share)
+        """`new_callback`: as it was taken on; `callback_class`: its settings; `over_quota`: beyond its tenant's quota."""
+        self.id = new_callback.callback
+        self.callback_class = callback_class
+        self.value = value
+        self.queue_group = (new_callback.callback_class, over_quota)
         self.key: Optional[str] = None  # set where its order within the key counts
-        self.due = new.abandon_at
-        self.goal = new.abandon_at - category.abandon + category.goal
-        self.stale = self.due  # from then on it loses no more by waiting
-        self.late = False  # queued since it was stale
-        self.destination = new.destination
+        self.deadline = new_callback.deadline
+        self.target_time = (
+            new_callback.deadline - callback_class.time_limit + callback_class.target_latency
+        )
+        self.value_floor_at = self.deadline  # from then on it loses no more by waiting
+        self.is_at_value_floor = False  # queued since it was stale
+        self.destination = new_callback.destination
         self.state: Optional[str] = None
-        self.launches = new.launches
-        self.attempt: Optional[Attempt] = None  # the one that is out
-        self.kept = False  # found untried by a restart
+        self.attempts = new_callback.attempts
+        self.call: Optional[Call] = None  # the one that is out
+        self.untried_at_restart = False  # found untried by a restart
         self.may_have_run = False
-        self.zone: Optional[int] = (
+        self.repeat_zone: Optional[int] = (
             None  # once it may have run, the only zone where a repeat is known; None: any
         )
         # a repeat is known till then
-        self.repeat_until = self.due if category.effect is Effect.IDEMPOTENT else 0
-
-    def worth(self, at: int, halving: bool) -> float:
-        """The payoff of a delivery at that time; `halving`: it halves with each further span to the goal."""
-        late = at - self.goal
-        if late <= 0:
-            return self.payoff
-        if at >= self.due:
+        self.repeat_until = (
+            self.deadline if callback_class.semantics is DeliverySemantics.IDEMPOTENT else 0
+        )
+
+    def value_at(self, time: int, value_halves: bool) -> float:
+        """The payoff of a delivery at that time; `value_halves`: it halves with each further span to the goal."""
+        lateness = time - self.target_time
+        if lateness <= 0:
+            return self.value
+        if time >= self.deadline:
             return 0.0
-        category = self.category
-        if halving:
-            fallen = 0.5 ** (late / category.goal) if category.goal else 0.0
-            return self.payoff * max(category.late_share, fallen)
-        span = max(1, category.abandon - category.goal)
-        return self.payoff * (1.0 - (1.0 - category.late_share) * late / span)
+        callback_class = self.callback_class
+        if value_halves:
+            remaining_share = (
+                0.5 ** (lateness / callback_class.target_latency)
+                if callback_class.target_latency
+                else 0.0
+            )
+            return self.value * max(callback_class.late_value_share, remaining_share)
+        span = max(1, callback_class.time_limit - callback_class.target_latency)
+        return self.value * (1.0 - (1.0 - callback_class.late_value_share) * lateness / span)
--- a/molehill/decisions/endpoint_list.py
+++ b/molehill/decisions/endpoint_list.py
@@ -1,108 +1,110 @@
 """The list of endpoints as discovery tells it: who serves, who drains, and when what left is forgotten."""
 
-from molehill import interface as it
-from molehill.decisions.endpoint import CLOSED, OPEN, Destination, Endpoint
+from molehill import interface
+from molehill.decisions.endpoint import EJECTED, HEALTHY, Destination, Endpoint
 from molehill.decisions.limiter import SECOND, Limiter
 from molehill.decisions.state import State
 
 # jittered; sooner, many relays that were turned away keep the list overloaded
-ASK_AGAIN = 2 * SECOND
+LIST_RETRY_DELAY = 2 * SECOND
 # longer than ramps and gaps in the list: one that comes back sooner is known
-FORGOTTEN_AFTER = 30 * SECOND
+FORGET_AFTER = 30 * SECOND
 
 
-def kind_of(settings: it.Settings, number: int) -> it.Kind:
+def settings_of_kind(settings: interface.Settings, number: int) -> interface.HostKind:
     """The settings of a kind of endpoints; one that is not known takes a callback a call."""
-    return settings.kinds[number] if number < len(settings.kinds) else it.Kind(False, 1)
+    return settings.kinds[number] if number < len(settings.kinds) else interface.HostKind(False, 1)
 
 
 class EndpointList:
     """Keeps the state's endpoints and destinations as listed."""
 
-    def __init__(self, state: State, kinds: int) -> None:
-        """`kinds`: how many are told apart."""
-        self.state, self.kinds = state, kinds
+    def __init__(self, state: State, kind_count: int) -> None:
+        """`kind_count`: how many are told apart."""
+        self.state, self.kind_count = state, kind_count
 
-    def news(self, news: it.ListNews) -> None:
+    def apply_update(self, update: interface.HostListUpdate) -> None:
         """Discovery told something, or could not be asked."""
         state = self.state
-        if news.scope is it.Scope.FAILED:
-            again = state.now + int(ASK_AGAIN * (0.5 + state.random()))
-            state.at(again, self._follow, None)
+        if update.scope is interface.ListScope.FAILED:
+            retry_at = state.now + int(LIST_RETRY_DELAY * (0.5 + state.random()))
+            state.schedule(retry_at, self._watch_list, None)
             return
-        if news.scope is it.Scope.RESTORED and state.settings.list_on_request:
-            self._follow(None)
-        if news.scope is not it.Scope.UPDATE:
-            named = {entry.host for entry in news.entries}
-            for endpoint in [e for e in state.endpoints.values() if e.id not in named]:
+        if update.scope is interface.ListScope.RESTORED and state.settings.list_on_request:
+            self._watch_list(None)
+        if update.scope is not interface.ListScope.UPDATE:
+            listed_ids = {entry.host for entry in update.entries}
+            for endpoint in [e for e in state.endpoints.values() if e.id not in listed_ids]:
                 self._set_serving(endpoint, False)
-        for entry in news.entries:
-            endpoint = state.endpoints.get(entry.host) or self._add(entry)
-            if state.settings.units_are_rates:
-                endpoint.limiter.told_rate = entry.units
-            self._set_serving(endpoint, entry.condition is it.Condition.UP)
+        for entry in update.entries:
+            endpoint = state.endpoints.get(entry.host) or self._add_endpoint(entry)
+            if state.settings.weights_are_rates:
+                endpoint.limiter.advertised_rate = entry.weight
+            self._set_serving(endpoint, entry.condition is interface.Condition.UP)
 
-    def _follow(self, _: None) -> None:
-        self.state.actions.append(it.FollowList())
+    def _watch_list(self, _: None) -> None:
+        self.state.actions.append(interface.WatchHostList())
 
-    def _add(self, entry: it.HostEntry) -> Endpoint:
+    def _add_endpoint(self, entry: interface.HostEntry) -> Endpoint:
         state = self.state
-        destination = state.destination(entry.destination)
-        destination.known += 1
-        kind = kind_of(state.settings, entry.kind)
+        destination = state.ensure_destination(entry.destination)
+        destination.known_endpoint_count += 1
+        kind = settings_of_kind(state.settings, entry.kind)
         endpoint = state.endpoints[entry.host] = Endpoint(
             entry,
-            kind.per_call,
-            min(entry.kind, self.kinds - 1),
-            Limiter(state.now) if kind.apart else destination.limiter,
-            CLOSED if entry.away else OPEN,  # rule 4
+            kind.callbacks_per_call,
+            min(entry.kind, self.kind_count - 1),
+            Limiter(state.now) if kind.separate_routes else destination.limiter,
+            EJECTED if entry.ejected else HEALTHY,  # rule 4
             state.now,
         )
         return endpoint
 
-    def _set_serving(self, endpoint: Endpoint, up: bool) -> None:
+    def _set_serving(self, endpoint: Endpoint, is_serving: bool) -> None:
         """Rule 3: an endpoint that drains or is gone gets nothing new from this moment."""
         state = self.state
-        if endpoint.up != up:
-            endpoint.up = up
-            self._changed(endpoint, state.destination(endpoint.destination))
-        if not up:
-            state.at(state.now + FORGOTTEN_AFTER, self._forget, endpoint.id)
+        if endpoint.is_serving != is_serving:
+            endpoint.is_serving = is_serving
+            self._serving_changed(endpoint, state.ensure_destination(endpoint.destination))
+        if not is_serving:
+            state.schedule(state.now + FORGET_AFTER, self._forget_endpoint, endpoint.id)
 
-    def _changed(self, endpoint: Endpoint, destination: Destination) -> None:
+    def _serving_changed(self, endpoint: Endpoint, destination: Destination) -> None:
         state, number = self.state, endpoint.destination
-        if endpoint.up:
+        if endpoint.is_serving:
             destination.endpoints.append(endpoint)
         else:
             destination.endpoints.remove(endpoint)
-        destination.usual = max(destination.usual, len(destination.endpoints))
-        if not endpoint.up:
-            state.at(state.now + FORGOTTEN_AFTER, self._forget_usual, number)
-        elif endpoint.state is OPEN:
+        destination.usual_endpoint_count = max(
+            destination.usual_endpoint_count, len(destination.endpoints)
+        )
+        if not endpoint.is_serving:
+            state.schedule(state.now + FORGET_AFTER, self._reset_usual_count, number)
+        elif endpoint.state is HEALTHY:
             # Danger: hosts are replaced faster than rests after refusals end. A new one gave no cause.
-            endpoint.limiter.paused_until = endpoint.limiter.told_wait_until
+            endpoint.limiter.paused_until = endpoint.limiter.retry_after_until
             endpoint.limiter.bad_rounds = 0
-        state.to_look_at[number] = True
+        state.destinations_to_check[number] = True
 
-    def _forget(self, host: it.Id) -> None:
+    def _forget_endpoint(self, host: interface.Id) -> None:
         """Danger: hosts come and go all day. What left is forgotten, with its destination if the last."""
         state = self.state
         endpoint = state.endpoints.get(host)
-        if endpoint is None or endpoint.up:
+        if endpoint is None or endpoint.is_serving:
             return
         destination = state.destination_of(endpoint)
-        last = destination.known == 1
-        in_use = last and (destination.waiting or destination.calls_out)
-        if endpoint.calls_out or in_use:
-            state.at(state.now + FORGOTTEN_AFTER, self._forget, host)
+        is_last = destination.known_endpoint_count == 1
+        in_use = is_last and (destination.waiting_count or destination.calls_in_flight)
+        if endpoint.calls_in_flight or in_use:
+            state.schedule(state.now + FORGET_AFTER, self._forget_endpoint, host)
             return
         del state.endpoints[host]
-        destination.known -= 1
-        if last:
+        destination.known_endpoint_count -= 1
+        if is_last:
             del state.destinations[endpoint.destination]
 
-    def _forget_usual(self, number: int) -> None:
+    def _reset_usual_count(self, number: int) -> None:
         """By now clients have got used to fewer hosts, or others have come in place of those that left."""
         destination = self.state.destinations.get(number)
         if destination is not None:
-            destination.usual = len(destination.endpoints)
+            destination.usual_endpoint_count = len(destination.endpoints)
--- a/molehill/decisions/lifecycle.py
+++ b/molehill/decisions/lifecycle.py
@@ -3,18 +3,18 @@
 from heapq import heappush
 from typing import Optional
 
-from molehill import interface as it
-from molehill.decisions.callback import OVER, QUEUED, WAITING, WAITING_FOR_KEY, Callback
+from molehill import interface
+from molehill.decisions.callback import COMPLETED, QUEUED, WAITING_FOR_KEY, WAITING_STATES, Callback
 from molehill.decisions.endpoint import Destination
 from molehill.decisions.limiter import SECOND
 from molehill.decisions.state import State
-from molehill.interface import Effect
+from molehill.interface import DeliverySemantics
 
 # a client counts from when it sent: its way here and one batch, as batches are no closer
-CLIENT_WAY = SECOND // 200
-KNOWN_SHARE = 15, 16  # of a repeat's window: a new connection takes its time
-LATENCY_SHARE = 16  # of the span to its end that a call's latency counts at most
-RETURN_AFTER = SECOND  # a queue thins by then
+CLIENT_DELAY = SECOND // 200
+REPEAT_WINDOW_SHARE = 15, 16  # of a repeat's window: a new connection takes its time
+LATENCY_DIVISOR = 16  # of the span to its end that a call's latency counts at most
+REJECT_RETRY_AFTER = SECOND  # a queue thins by then
 
 
 class Lifecycle:
@@ -22,105 +22,116 @@
 
     def __init__(self, state: State) -> None:
         self.state = state
-        self.keys: dict[str, list[Callback]] = {}  # the oldest of a key first
-        self.rests: dict[str, int] = {}  # key -> until when it rests
+        self.callbacks_by_key: dict[str, list[Callback]] = {}  # the oldest of a key first
+        self.cooldowns: dict[str, int] = {}  # key -> until when it rests
 
-    def move(self, callback: Callback, to: str) -> None:
+    def set_state(self, callback: Callback, new_state: str) -> None:
         """Into that state."""
-        if to is WAITING_FOR_KEY and callback.key is None:
-            to = QUEUED
-        before, callback.state = callback.state, to
-        destination = self.state.destination(callback.destination)
-        destination.waiting += (to in WAITING) - (before in WAITING)
-        if to is QUEUED:
-            self._queue(callback, destination)
-        elif to is OVER and before is not OVER:
-            if callback.attempt is None:
-                del self.state.held[callback.id]
-            self.next_of_key(callback.key)
-
-    def _queue(self, callback: Callback, destination: Destination) -> None:
+        if new_state is WAITING_FOR_KEY and callback.key is None:
+            new_state = QUEUED
+        old_state, callback.state = callback.state, new_state
+        destination = self.state.ensure_destination(callback.destination)
+        destination.waiting_count += (new_state in WAITING_STATES) - (old_state in WAITING_STATES)
+        if new_state is QUEUED:
+            self._enqueue(callback, destination)
+        elif new_state is COMPLETED and old_state is not COMPLETED:
+            if callback.call is None:
+                del self.state.callbacks_by_id[callback.id]
+            self.advance_key(callback.key)
+
+    def _enqueue(self, callback: Callback, destination: Destination) -> None:
         # Danger: after an outage all that waits is late alike, and oldest first nothing is in time again.
         # What loses no more by waiting goes after the rest. One whose launch failed yields a second.
-        callback.late = self.state.now >= callback.stale
-        lane = (callback.lane, callback.may_have_run, callback.zone)
-        in_time_and_late = destination.lanes.setdefault(lane, ([], []))
-        urgency = callback.goal + callback.launches * SECOND
+        callback.is_at_value_floor = self.state.now >= callback.value_floor_at
+        queue_key = (callback.queue_group, callback.may_have_run, callback.repeat_zone)
+        queues = destination.queues.setdefault(queue_key, ([], []))
+        order = callback.target_time + callback.attempts * SECOND
         serial = self.state.timers.next_serial()
-        heappush(in_time_and_late[callback.late], (urgency, serial, callback))
-        self.state.to_look_at[callback.destination] = True
+        heappush(queues[callback.is_at_value_floor], (order, serial, callback))
+        self.state.destinations_to_check[callback.destination] = True
 
     def add_to_key(self, callback: Callback, key: str) -> None:
         """Behind those of its key that came before."""
         callback.key = key
-        self.keys.setdefault(key, []).append(callback)
+        self.callbacks_by_key.setdefault(key, []).append(callback)
 
-    def rest_key(self, key: str, until: int) -> None:
+    def start_key_cooldown(self, key: str, until: int) -> None:
         """Nothing of that key is launched until then."""
-        self.rests[key] = max(until, self.rests.get(key, 0))
-        self.state.at(until, self.next_of_key, key)
+        self.cooldowns[key] = max(until, self.cooldowns.get(key, 0))
+        self.state.schedule(until, self.advance_key, key)
 
-    def next_of_key(self, key: Optional[str]) -> None:
+    def advance_key(self, key: Optional[str]) -> None:
         """Rule 5: a key's oldest goes once all before it are over, with no launch out, and the key rested."""
         if key is None:
             return
-        line = self.keys.get(key, [])
-        while line and line[0].state is OVER and line[0].attempt is None:
-            line.pop(0)
-        rested = self.rests.get(key, 0) <= self.state.now
-        if line and rested and line[0].state is WAITING_FOR_KEY:
-            self.move(line[0], QUEUED)
-        elif not line and rested:
-            self.keys.pop(key, None)
-            self.rests.pop(key, None)
-
-    def set_may_have_run(self, callback: Callback, sent: int, zone: Optional[int]) -> None:
+        callbacks = self.callbacks_by_key.get(key, [])
+        while callbacks and callbacks[0].state is COMPLETED and callbacks[0].call is None:
+            callbacks.pop(0)
+        cooled_down = self.cooldowns.get(key, 0) <= self.state.now
+        if callbacks and cooled_down and callbacks[0].state is WAITING_FOR_KEY:
+            self.set_state(callbacks[0], QUEUED)
+        elif not callbacks and cooled_down:
+            self.callbacks_by_key.pop(key, None)
+            self.cooldowns.pop(key, None)
+
+    def mark_may_have_run(self, callback: Callback, sent_at: int, zone: Optional[int]) -> None:
         """Rule 2: from the first such launch on, a deduplicated one goes only where and while it is known."""
-        category = callback.category
-        if not callback.may_have_run and category.effect is Effect.DEDUPLICATED:
-            callback.zone = None if category.all_hosts else zone
-            share, whole = KNOWN_SHARE
-            callback.repeat_until = sent + category.window * share // whole
-            self.state.at(callback.repeat_until, self.time_up, callback.id)
+        callback_class = callback.callback_class
+        if not callback.may_have_run and callback_class.semantics is DeliverySemantics.DEDUPLICATED:
+            callback.repeat_zone = None if callback_class.deduplicated_everywhere else zone
+            numerator, denominator = REPEAT_WINDOW_SHARE
+            callback.repeat_until = (
+                sent_at + callback_class.deduplication_window * numerator // denominator
+            )
+            self.state.schedule(callback.repeat_until, self.check_deadline, callback.id)
         callback.may_have_run = True
 
-    def may_launch(self, callback: Callback) -> bool:
+    def may_attempt(self, callback: Callback) -> bool:
         """Rule 2: whether it may be launched now. Danger: in a long queue all go too late for an answer."""
-        ends = callback.due
+        latest_end = callback.deadline
         if callback.may_have_run:
-            ends = min(ends, callback.repeat_until)
-        endpoints = self.state.destination(callback.destination).endpoints
+            latest_end = min(latest_end, callback.repeat_until)
+        endpoints = self.state.ensure_destination(callback.destination).endpoints
         # bounded, so that a slow spell long past shuts nobody out
-        longest = callback.category.abandon // LATENCY_SHARE
-        took = min([longest, *(endpoint.limiter.best or 0 for endpoint in endpoints)])
-        if callback.launches >= self.state.settings.max_launches:
+        longest_latency = callback.callback_class.time_limit // LATENCY_DIVISOR
+        latency = min(
+            [longest_latency, *(endpoint.limiter.baseline_latency or 0 for endpoint in endpoints)]
+        )
+        if callback.attempts >= self.state.settings.max_attempts:
             return False
-        return self.state.now + max(CLIENT_WAY, took) < ends
+        return self.state.now + max(CLIENT_DELAY, latency) < latest_end
 
-    def time_up(self, number: it.Id) -> None:
+    def check_deadline(self, callback_id: interface.Id) -> None:
         """Its time may be over now."""
-        callback = self.state.held.get(number)
-        if callback is None or callback.state not in WAITING:
+        callback = self.state.callbacks_by_id.get(callback_id)
+        if callback is None or callback.state not in WAITING_STATES:
             return
-        if not self.may_launch(callback):
+        if not self.may_attempt(callback):
             self.give_up(callback)
-        elif self.state.now < callback.due:
+        elif self.state.now < callback.deadline:
             # Danger: too late by a latency that has fallen since, it may wait for its turn, and nothing else looks at it.
-            self.state.at(callback.due, self.time_up, number)
+            self.state.schedule(callback.deadline, self.check_deadline, callback_id)
 
-    def return_after(self) -> int:
+    def reject_retry_after(self) -> int:
         """When a rejected one may come again; 0: not told."""
         settings = self.state.settings
-        return min(RETURN_AFTER, settings.max_return) if settings.tells_return else 0
+        return (
+            min(REJECT_RETRY_AFTER, settings.max_retry_after) if settings.sends_retry_after else 0
+        )
 
     def give_up(self, callback: Callback) -> None:
         """The final answer for what is not delivered: rejected where that is harmless, else failed."""
-        category = callback.category
-        latest = callback.due - (CLIENT_WAY if callback.may_have_run else 0)
-        anywhere = category.effect is Effect.DEDUPLICATED and category.all_hosts
-        repeatable = category.effect is Effect.IDEMPOTENT or anywhere
-        if self.state.now < latest and (not callback.may_have_run or repeatable):
-            self.state.actions.append(it.Reject(callback.id, self.return_after()))
+        callback_class = callback.callback_class
+        reject_before = callback.deadline - (CLIENT_DELAY if callback.may_have_run else 0)
+        repeats_dropped_everywhere = (
+            callback_class.semantics is DeliverySemantics.DEDUPLICATED
+            and callback_class.deduplicated_everywhere
+        )
+        repeatable = (
+            callback_class.semantics is DeliverySemantics.IDEMPOTENT or repeats_dropped_everywhere
+        )
+        if self.state.now < reject_before and (not callback.may_have_run or repeatable):
+            self.state.actions.append(interface.Reject(callback.id, self.reject_retry_after()))
         else:
-            self.state.actions.append(it.Fail(callback.id))
-        self.move(callback, OVER)
+            self.state.actions.append(interface.Fail(callback.id))
+        self.set_state(callback, COMPLETED)
--- a/molehill/decisions/state.py
+++ b/molehill/decisions/state.py
@@ -3,50 +3,54 @@
 from random import Random
 from typing import Any
 
-from molehill import interface as it
+from molehill import interface
 from molehill.decisions.callback import Callback
 from molehill.decisions.endpoint import Destination, Endpoint
-from molehill.decisions.timers import Timers, Work
+from molehill.decisions.timers import Task, Timers
 
 
 class State:
     """One relay's. `actions`: what this step asks for, in order."""
 
-    def __init__(self, settings: it.Settings, seed: it.Id) -> None:
+    def __init__(self, settings: interface.Settings, seed: interface.Id) -> None:
         self.settings = settings
         self.random = Random(seed).random
         self.now = 0
         self.actions: list = []
         self.timers = Timers()
-        self.held: dict[it.Id, Callback] = {}  # not over, or over with a launch out
-        self.endpoints: dict[it.Id, Endpoint] = {}
+        self.callbacks_by_id: dict[
+            interface.Id, Callback
+        ] = {}  # not over, or over with a launch out
+        self.endpoints: dict[interface.Id, Endpoint] = {}
         self.destinations: dict[int, Destination] = {}
-        self.to_look_at: dict[int, Any] = {}  # destinations where something may be launched
-        self.calls_out = 0
-        self.ends_at = float("inf")  # the relay's own end
+        self.destinations_to_check: dict[
+            int, Any
+        ] = {}  # destinations where something may be launched
+        self.calls_in_flight = 0
+        self.stops_at = float("inf")  # the relay's own end
 
-    def at(self, when: int, work: Work, subject: Any) -> None:
+    def schedule(self, when: int, task: Task, argument: Any) -> None:
         """As of Timers."""
-        self.timers.at(when, work, subject)
+        self.timers.schedule(when, task, argument)
 
-    def look_at(self, destination: int, when: int) -> None:
+    def check_destination_at(self, destination: int, when: int) -> None:
         """Something may be launched there at that time."""
-        self.timers.at(when, None, destination)
+        self.timers.schedule(when, None, destination)
 
-    def destination(self, number: int) -> Destination:
+    def ensure_destination(self, number: int) -> Destination:
         """That of this number; a new one where it is not known."""
-        known = self.destinations.get(number)
-        if known is None:
-            known = self.destinations[number] = Destination(self.now)
-        return known
+        destination = self.destinations.get(number)
+        if destination is None:
+            destination = self.destinations[number] = Destination(self.now)
+        return destination
 
     def destination_of(self, endpoint: Endpoint) -> Destination:
         """That of a known endpoint."""
         return self.destinations[endpoint.destination]
 
-    def count_calls(self, endpoint: Endpoint, by: int) -> None:
+    def count_calls(self, endpoint: Endpoint, change: int) -> None:
         """So many calls more are out to it."""
-        self.calls_out += by
-        endpoint.calls_out += by
-        self.destination_of(endpoint).calls_out += by
-        endpoint.limiter.calls_out += by
+        self.calls_in_flight += change
+        endpoint.calls_in_flight += change
+        self.destination_of(endpoint).calls_in_flight += change
+        endpoint.limiter.calls_in_flight += change
--- a/molehill/emulator/generator.py
+++ b/molehill/emulator/generator.py
@@ -24,7 +24,7 @@
 # share of destinations that can do little more than what is asked of them
 TIGHT = 0.4
 # Such a one can do so many times the load that comes, at the least and most. A relay takes what a host can do for 1.7 times
-# what is asked of it (decisions/slow_start.py, BUDGET), which clients that come again raise by up to a half: at less, a relay that keeps to
+# what is asked of it (decisions/slow_start.py, CAPACITY_OVER_DEMAND), which clients that come again raise by up to a half: at less, a relay that keeps to
 # its budget may push; at much more, nobody can.
 ABLE = (2.5, 4.0)
 # share of outages that take all hosts of a destination: "mostly", says the brief
--- a/molehill/emulator/life.py
+++ b/molehill/emulator/life.py
@@ -505,7 +505,7 @@
             "owed_keys": len(core.owed_keys),
             "used": core.used,
             "open": core.open,
-            "module held": len(core.module.state.held),
+            "module held": len(core.module.state.callbacks_by_id),
             "streams": len(http.hosts.streams),
             "notices": http.notices.owed,
             "aborted": len(http.hosts.aborted),
--- a/molehill/emulator/mutations.py
+++ b/molehill/emulator/mutations.py
@@ -5,12 +5,11 @@
 
 from contextlib import contextmanager
 
-from molehill import config, log_clock, startup, store
-from molehill import interface as it
+from molehill import config, interface, log_clock, startup, store
 from molehill.core import events as ev
 from molehill.core import host_list, reducer
 from molehill.core.final_notices import FinalNotices
-from molehill.decisions.endpoint import OPEN, SLOW_START
+from molehill.decisions.endpoint import HEALTHY, SLOW_START
 from molehill.decisions.endpoint_health import EndpointHealth
 from molehill.decisions.lifecycle import Lifecycle
 from molehill.http import clients, discovery, hosts, notices
@@ -58,7 +57,7 @@
     def change(before):
         def read(given, prefix=""):
             made = before(given, prefix)
-            for row in made.categories:
+            for row in made.callback_classes:
                 for field, by in changes.items():
                     setattr(row, field, by(getattr(row, field)))
             return made
@@ -71,7 +70,7 @@
 def routes_apart(before):
     def read(given, prefix=""):
         made = before(given, prefix)
-        made.kinds = [it.Kind(True, kind.per_call) for kind in made.kinds]
+        made.kinds = [interface.HostKind(True, kind.callbacks_per_call) for kind in made.kinds]
         return made
 
     return read
@@ -94,7 +93,7 @@
     """The connection of a call that timed out is used again: its late answer is taken for the next call's."""
 
     def useless(self, call, stream, start, end, came):
-        if end.result is not it.Result.TIMEOUT:
+        if end.result is not interface.Result.TIMEOUT:
             return before(self, call, stream, start, end, came)
         close, stream.close = stream.close, lambda: None
         try:
@@ -155,7 +154,7 @@
     def health(self, endpoint, good, sent, result):
         before(self, endpoint, good, sent, result)
         if endpoint.state == SLOW_START:
-            endpoint.state, endpoint.next_call_at = OPEN, self.state.now
+            endpoint.state, endpoint.next_call_at = HEALTHY, self.state.now
 
     return health
 
@@ -176,7 +175,7 @@
 
     def hand_over(self, c):
         before(self, c)
-        self.inbox[-1].taken = False
+        self.inbox[-1].already_accepted = False
 
     return hand_over
 
@@ -241,39 +240,47 @@
     "ticket window off by a tenth": (
         config,
         "settings",
-        settings_with(window=lambda w: w * 11 // 10),
+        settings_with(deduplication_window=lambda w: w * 11 // 10),
     ),
     "ticket window off by a quarter": (
         config,
         "settings",
-        settings_with(window=lambda w: w * 5 // 4),
+        settings_with(deduplication_window=lambda w: w * 5 // 4),
     ),
     "ticket's zone not heeded": (
         config,
         "settings",
-        settings_with(all_hosts=lambda _: True, same_zone=lambda _: False),
+        settings_with(deduplicated_everywhere=lambda _: True, deduplicated_in_zone=lambda _: False),
     ),
     "exclusive taken for rerunnable": (
         config,
         "settings",
-        settings_with(effect=lambda e: it.Effect.IDEMPOTENT if e is it.Effect.AT_MOST_ONCE else e),
+        settings_with(
+            semantics=lambda e: interface.DeliverySemantics.IDEMPOTENT
+            if e is interface.DeliverySemantics.AT_MOST_ONCE
+            else e
+        ),
     ),
     "order of keys not kept": (config, "settings", settings_with(ordered=lambda _: False)),
-    "key's rest forgotten": (Lifecycle, "rest_key", lambda before: lambda self, key, until: None),
+    "key's rest forgotten": (
+        Lifecycle,
+        "start_key_cooldown",
+        lambda before: lambda self, key, until: None,
+    ),
     "key's rest forgotten after a restart": (
         Core,
         "_hand_over",
         lambda before: lambda self, c: (self.rests.clear(), before(self, c))[1],
     ),
     "reset counts as never run": (
-        it.Result,
+        interface.Result,
         "may_have_run",
-        lambda before: property(lambda self: self is it.Result.ERROR),
+        lambda before: property(lambda self: self is interface.Result.ERROR),
     ),
     "drain not heeded": (
         discovery,
         "CONDITIONS",
-        lambda before: {**before, "leaving": it.Condition.UP},
+        lambda before: {**before, "leaving": interface.Condition.UP},
     ),
     "told wait not read": (hosts, "retry_after", lambda before: lambda head: 0),
     "wait heeded by host, not by destination": (config, "settings", routes_apart),
@@ -281,7 +288,7 @@
     "a call goes on after the time of one in it": (hosts, "ends", with_the_last),
     "notice sent once only": (notices.Notices, "_post", never_resent),
     "deadline read a second late": (clients.Clients, "fresh", late_by(config.SECOND)),
-    "returning host fed without a budget": (EndpointHealth, "count", full_at_once),
+    "returning host fed without a budget": (EndpointHealth, "update_state", full_at_once),
     "streams never forgotten": (
         hosts.Hosts,
         "_call",
@@ -320,9 +327,11 @@
         lambda before: lambda self, call, start: True,
     ),
     "a call behind a connection in doubt is launched anew": (
-        it.Result,
+        interface.Result,
         "may_have_run",
-        lambda before: property(lambda self: self is not it.Result.RESET and before.fget(self)),
+        lambda before: property(
+            lambda self: self is not interface.Result.RESET and before.fget(self)
+        ),
     ),
     "a connection closed over what lies unread": (
         clients,
--- a/molehill/http/answers.py
+++ b/molehill/http/answers.py
@@ -15,10 +15,10 @@
 STATUS = {
     200: ev.End("", Result.DELIVERED, closed=True),
     500: ev.End("", Result.ERROR),
-    429: ev.End("", Result.FULL),
-    503: ev.End("", Result.FULL),
-    400: ev.End("", Result.FULL),
-    413: ev.End("", Result.FULL),
+    429: ev.End("", Result.REFUSED),
+    503: ev.End("", Result.REFUSED),
+    400: ev.End("", Result.REFUSED),
+    413: ev.End("", Result.REFUSED),
     410: ev.End("", Result.NOT_SENT, closed=True, why=Refusal.HOST_SAYS_OVER),
     504: ev.End("", Result.NOT_SENT, spent=True, why=Refusal.HOST_SAYS_SPENT),
 }
@@ -59,7 +59,7 @@
     ends = []
     for member in members:
         end = told.get(member.id, ev.End("", Result.RESET))
-        ends.append(replace(end, id=member.id, wait=wait if end.result is Result.FULL else 0))
+        ends.append(replace(end, id=member.id, wait=wait if end.result is Result.REFUSED else 0))
     if wait and not any(end.wait for end in ends):
         ends[0].wait = wait  # the wait binds whatever became of each
     return ends
--- a/molehill/http/clients.py
+++ b/molehill/http/clients.py
@@ -6,10 +6,10 @@
 
 from molehill.config import MS, OUTGOING, SECOND
 from molehill.core import events as ev
-from molehill.holds import holds
 from molehill.http import hand_in
 from molehill.http import parser as http
 from molehill.http.stream import HttpStream
+from molehill.invariants import check_invariant
 from molehill.runtime.scheduler import LATE, READ
 from molehill.runtime.stream import PASSING, Broken, Late, finish, listening
 from molehill.runtime.trace import NO_TRACE, Step
@@ -208,7 +208,7 @@
 
     def close(self, conn, reason: CloseReason) -> None:
         """Ends a connection, for the first reason that it is given. The one place where this side does."""
-        holds(
+        check_invariant(
             reason not in OWES_NOTHING or not conn.busy, "closed_owing_nothing", reason=reason.value
         )
         if conn.reason is None:
--- a/molehill/http/discovery.py
+++ b/molehill/http/discovery.py
@@ -4,13 +4,13 @@
 from functools import partial
 from typing import Optional
 
-from molehill import interface as it
+from molehill import interface
 from molehill.config import MS, SECOND, ConfigError, address
 from molehill.core import events as ev
 from molehill.core.host_list import restored
-from molehill.holds import holds
 from molehill.http import parser as http
 from molehill.http.stream import HttpStream
+from molehill.invariants import check_invariant
 from molehill.runtime.stream import Broken, Late, Single
 
 # a watch that went silent is noticed within this and the next figure
@@ -26,9 +26,9 @@
 # beyond, a thirty-second of the memory: it stands there as bytes, as text and as entries at once.
 LIST_LEAST, LIST_PART = 1 << 20, 32
 CONDITIONS = {
-    "active": it.Condition.UP,
-    "leaving": it.Condition.DRAINING,
-    "left": it.Condition.GONE,
+    "active": interface.Condition.UP,
+    "leaving": interface.Condition.DRAINING,
+    "left": interface.Condition.GONE,
 }
 
 
@@ -61,14 +61,14 @@
             0,
             kind,
             int(row["group"]),
-            CONDITIONS.get(row["status"], it.Condition.DRAINING),
+            CONDITIONS.get(row["status"], interface.Condition.DRAINING),
             float(row.get("weight") or 0.0),
         )
         host.zone_name, host.kind_name = str(row.get("zone")), str(row.get("type"))
         host.zone = config.zones.setdefault(host.zone_name, len(config.zones))
         return host
     except (AttributeError, KeyError, TypeError, ValueError, OverflowError, ConfigError):
-        holds(False, "entry_of_the_list", row=repr(row)[:200])
+        check_invariant(False, "entry_of_the_list", row=repr(row)[:200])
         return None
 
 
@@ -120,8 +120,8 @@
             listed_version, _, hosts = read_list(known, self.config)
             self.version = listed_version if version is not None else None
         except ValueError as error:
-            holds(False, "list_at_the_start", error=str(error))
-        self.post(ev.Listed(it.Scope.RESTORED, hosts, self.version, self.source()))
+            check_invariant(False, "list_at_the_start", error=str(error))
+        self.post(ev.Listed(interface.ListScope.RESTORED, hosts, self.version, self.source()))
 
     def source(self) -> str:
         return "%s:%d" % self.config.discovery
@@ -151,7 +151,7 @@
         finally:
             self.line.close()
             self.watching = False
-            self.post(ev.Listed(it.Scope.FAILED))
+            self.post(ev.Listed(interface.ListScope.FAILED))
 
     def _follow(self) -> None:
         began, before, patience, again = self.clock(), self.version, WHOLE_WITHIN, True
@@ -173,7 +173,7 @@
         # Danger: a discovery that counts anew would keep its news until it has caught up.
         self.version = version if whole or version >= (before or 0) else None
         if whole or hosts or first:
-            scope = it.Scope.WHOLE if whole else it.Scope.UPDATE
+            scope = interface.ListScope.WHOLE if whole else interface.ListScope.UPDATE
             self.post(ev.Listed(scope, hosts, version, source))
         if version == before and self.clock() - began < PAUSE:
             self.scheduler.sleep(began + PAUSE)
--- a/molehill/http/hand_in.py
+++ b/molehill/http/hand_in.py
@@ -19,10 +19,10 @@
     if kind not in config.categories:
         raise http.Malformed(400, "Req-Kind is not a class that is served here")
     category = config.categories[kind]
-    row = config.settings.categories[category]
+    row = config.settings.callback_classes[category]
     key = http.cookie(headers, "subject") if row.ordered else None
     mark = headers.get("idempotency-key")
-    destination, span = destination_of(headers), span_of(headers, row.abandon)
+    destination, span = destination_of(headers), span_of(headers, row.time_limit)
     for text in (key, mark):
         if text is not None and not plain(text):
             raise http.Malformed(400, "a key that is too long or not printable")
--- a/molehill/http/hosts.py
+++ b/molehill/http/hosts.py
@@ -53,7 +53,7 @@
         # to the next process: nothing is begun any more; calls that may come back
         self.given, self.lent = False, {}
         self.out, self.counts = 0, Counter()  # calls out; outcomes by name, for the log
-        self.given_up = GivenUpCalls(scheduler, post, config.settings.slots)
+        self.given_up = GivenUpCalls(scheduler, post, config.settings.max_calls)
         budget.idlers["host"] = lambda: self.given_up.close_oldest() or self.idle.close_oldest()
         scheduler.at(self.clock() + SWEEP, self.sweep)
 
@@ -342,7 +342,7 @@
             self.idle.put(call.host, stream, self.clock())
         else:
             stream.close()
-        told = answers.told_limit(head, self.config.settings.tells_limit)
+        told = answers.told_limit(head, self.config.settings.limits_are_advertised)
         wait = answers.retry_after(head)
         if call.bundle and head.status == 200:
             ended = answers.outcomes_by_line(call.members, body, wait)
--- a/molehill/interface.py
+++ b/molehill/interface.py
@@ -13,7 +13,7 @@
 
 
 # the values are those of the log on the disk, which older programs wrote
-class Effect(Enum):
+class DeliverySemantics(Enum):
     IDEMPOTENT = "rerunnable"  # may run again
     DEDUPLICATED = "ticketed"  # carries a mark by which a repeat is known for a while
     AT_MOST_ONCE = "exclusive"  # must never run twice
@@ -22,7 +22,7 @@
 class Result(Enum):  # likewise
     DELIVERED = "fulfilled"
     ERROR = "error"  # answered with an error; may have run
-    FULL = "full"  # turned away unseen
+    REFUSED = "full"  # turned away unseen
     TIMEOUT = "timeout"  # no answer in time; may have run
     NO_CONNECT = "no_connect"  # no connection; never ran
     RESET = "reset"  # connection broke; may have run
@@ -30,12 +30,12 @@
     NOT_SENT = "not_sent"  # never left the relay
 
     @property
-    def may_run_still(self):
+    def may_still_run(self):
         return self in (Result.TIMEOUT, Result.RESET, Result.CANCELLED)
 
     @property
     def may_have_run(self):  # though it is not known to have been delivered
-        return self is Result.ERROR or self.may_run_still
+        return self is Result.ERROR or self.may_still_run
 
 
 class Condition(Enum):
@@ -44,7 +44,7 @@
     GONE = "gone"
 
 
-class Scope(Enum):
+class ListScope(Enum):
     UPDATE = "update"  # changed entries only
     WHOLE = "whole"  # the complete list
     RESTORED = "restored"  # the complete list as last held, perhaps old
@@ -52,16 +52,16 @@
 
 
 @dataclass(slots=True)
-class Category:
-    effect: Effect
-    goal: int  # wanted within this span
-    abandon: int  # given up after this span
-    payoff: float
+class CallbackClass:
+    semantics: DeliverySemantics
+    target_latency: int  # wanted within this span
+    time_limit: int  # given up after this span
+    value: float
     # share of the payoff left at the abandon time (or the floor when halving)
-    late_share: float
-    window: int  # deduplicated: how long a repeat is dropped
-    same_zone: bool  # deduplicated: only hosts of the first launch's zone drop repeats
-    all_hosts: bool  # deduplicated: every host of the destination drops repeats
+    late_value_share: float
+    deduplication_window: int  # deduplicated: how long a repeat is dropped
+    deduplicated_in_zone: bool  # deduplicated: only hosts of the first launch's zone drop repeats
+    deduplicated_everywhere: bool  # deduplicated: every host of the destination drops repeats
     ordered: bool  # callbacks of one key go in turn
 
 
@@ -72,34 +72,38 @@
 
 
 @dataclass(slots=True)
-class Kind:
-    apart: bool  # hosts of a destination are separate routes
-    per_call: int  # callbacks in one call at most
+class HostKind:
+    separate_routes: bool  # hosts of a destination are separate routes
+    callbacks_per_call: int  # callbacks in one call at most
 
 
 @dataclass(slots=True)
 class Settings:
-    categories: list[Category]
+    callback_classes: list[CallbackClass]
     tenants: list[Tenant] = field(default_factory=list)
-    kinds: list[Kind] = field(default_factory=list)
+    kinds: list[HostKind] = field(default_factory=list)
     zone_fees: list[float] = field(default_factory=list)
-    relays: int = 1
-    slots: int = 1  # calls out at once
-    max_held: Optional[int] = None
-    max_launches: int = 1
-    tells_return: bool = False  # clients receive the time to come back
-    max_return: int = 0  # the longest such time a client keeps to
+    relay_count: int = 1
+    max_calls: int = 1  # calls out at once
+    max_pending: Optional[int] = None
+    max_attempts: int = 1
+    sends_retry_after: bool = False  # clients receive the time to come back
+    max_retry_after: int = 0  # the longest such time a client keeps to
     list_on_request: bool = False
-    halving: bool = False  # the payoff falls by half a goal time; else evenly to late_share
-    over_share_payoff: float = 1.0
-    units_are_rates: bool = False
-    fall_span: Optional[int] = None
-    fall_multiple: Optional[float] = None
-    cold_from: Optional[float] = None
-    ramp_time: Optional[int] = None
+    value_halves: bool = (
+        False  # the payoff falls by half a goal time; else evenly to late_value_share
+    )
+    over_quota_value_factor: float = 1.0
+    weights_are_rates: bool = False
+    overload_span: Optional[int] = None
+    overload_multiple: Optional[float] = None
+    cold_capacity_share: Optional[float] = None
+    slow_start_time: Optional[int] = None
     connection_idle: int = 0  # an idle connection is closed after this span
-    tells_limit: bool = False  # answers tell a host's limit in calls a second where it has one
-    settle: int = 0  # rest of a key after a launch that may still run
+    limits_are_advertised: bool = (
+        False  # answers tell a host's limit in calls a second where it has one
+    )
+    key_cooldown: int = 0  # rest of a key after a launch that may still run
 
 
 @dataclass(slots=True)
@@ -109,77 +113,77 @@
     kind: int
     destination: int
     condition: Condition
-    units: float
+    weight: float
     # an earlier process of this relay saw it fail, and not long enough well since
-    away: bool = False
+    ejected: bool = False
 
 
 @dataclass(slots=True)
-class ListNews:
-    scope: Scope
+class HostListUpdate:
+    scope: ListScope
     entries: list[HostEntry]
 
 
 @dataclass(slots=True)
 # a call that an earlier process of this relay wrote; its outcomes come to this one
-class Underway:
+class HandedOverCall:
     number: int
     host: Id
-    sent: int
-    time_out: int
+    sent_at: int
+    timeout: int
 
 
 @dataclass(slots=True)
 class NewCallback:
     callback: Id
-    category: int
+    callback_class: int
     tenant: int
     key: Optional[str]
-    abandon_at: int
+    deadline: int
     destination: int
-    launches: int = 0  # from here on: what an earlier process of this relay did with it
-    ran_at: Optional[int] = None  # when the first launch that may have run was sent
-    ran_zone: Optional[int] = None  # where that was
-    rests_until: int = 0  # until when its key rests
-    under: Optional[Underway] = None  # its last launch is out in that call
-    taken: bool = False  # an earlier process or module had taken it on
+    attempts: int = 0  # from here on: what an earlier process of this relay did with it
+    may_have_run_at: Optional[int] = None  # when the first launch that may have run was sent
+    may_have_run_zone: Optional[int] = None  # where that was
+    key_cooldown_until: int = 0  # until when its key rests
+    handed_over_call: Optional[HandedOverCall] = None  # its last launch is out in that call
+    already_accepted: bool = False  # an earlier process or module had taken it on
 
 
 @dataclass(slots=True)
 class Outcome:
     callback: Id
-    launch: int
+    attempt_number: int
     host: Id
     result: Result
-    took: int
-    wait: int  # told wait, 0 for none
-    closed: bool
+    duration: int
+    retry_after: int  # told wait, 0 for none
+    completed: bool
     # the limit that the answer tells, calls a second from all relays; 0: none
-    told_rate: float = 0.0
-    spent: bool = False  # the host says that it has had all its launches
+    advertised_rate: float = 0.0
+    attempts_exhausted: bool = False  # the host says that it has had all its launches
     unsent: bool = False  # the relay itself kept it back: it counts as no launch
     # share of that limit that is left, as the answer tells; None: not told
-    told_left: Optional[float] = None
+    advertised_share_left: Optional[float] = None
 
 
 @dataclass(slots=True)
-class Timer:
+class TimerExpired:
     token: str
 
 
 @dataclass(slots=True)
-class Withdrawn:
+class CallbackWithdrawn:
     callback: Id
 
 
 @dataclass(slots=True)
 # the relay ends at that time; what it holds is taken up again after its restart
-class Stopping:
-    at: int
+class RelayStopping:
+    stops_at: int
 
 
 @dataclass(slots=True)
-class Learnt:  # what an earlier process's module told by `learnt`
+class LearnedState:  # what an earlier process's module told by `learned_state`
     rows: list[dict]
 
 
@@ -193,16 +197,16 @@
 
 
 @dataclass(slots=True)
-class Launch:
+class StartAttempt:
     callback: Id
     host: Id
-    time_out: int
+    timeout: int
 
 
 @dataclass(slots=True)
 class Reject:
     callback: Id
-    come_back: int  # 0 for no guidance
+    retry_after: int  # 0 for no guidance
 
 
 @dataclass(slots=True)
@@ -211,8 +215,8 @@
 
 
 @dataclass(slots=True)
-class Wake:
-    span: int
+class SetTimer:
+    delay: int
     token: str
 
 
@@ -222,12 +226,12 @@
 
 
 @dataclass(slots=True)
-class FollowList:
+class WatchHostList:
     pass
 
 
 @dataclass(slots=True)
-class Health:  # a host is closed for its failures (away), or answers again
+class ReportHealth:  # a host is closed for its failures (away), or answers again
     host: Id
-    away: bool
+    ejected: bool
     text: str
--- a/molehill/relay.py
+++ b/molehill/relay.py
@@ -7,7 +7,7 @@
 import signal
 
 from molehill import config as configuration
-from molehill import holds, upgrade
+from molehill import invariants, upgrade
 from molehill.core import events as ev
 from molehill.core.reducer import Core
 from molehill.decisions.dispatcher import Dispatcher
@@ -38,7 +38,7 @@
             False,
             None,
         )
-        holds.report = lambda name, count, facts: self.log.error(
+        invariants.report_breach = lambda name, count, facts: self.log.error(
             "broken invariant", name=name, count=count, **{f"fact_{k}": v for k, v in facts.items()}
         )
         # it may have moved since this one's start
@@ -151,7 +151,9 @@
         self.scheduler.run()
         if not self.given:
             self.store.close()
-        self.log.info("ended", held=len(self.core.held), out=self.hosts.out, broken=holds.counts)
+        self.log.info(
+            "ended", held=len(self.core.held), out=self.hosts.out, broken=invariants.breach_counts
+        )
         self.sink.flush()
 
     def on_signals(self) -> None:
--- a/molehill/runtime/engine.py
+++ b/molehill/runtime/engine.py
@@ -4,7 +4,7 @@
 
 from molehill.config import MS
 from molehill.core import events as ev
-from molehill.holds import counts, holds
+from molehill.invariants import breach_counts, check_invariant
 from molehill.runtime.trace import NO_TRACE, Step
 
 
@@ -96,7 +96,7 @@
             try:
                 self.carry_out(effect, kind)
             except Exception as error:  # the effects that come after it still go
-                holds(False, "effect", what=kind.__name__, error=repr(error))
+                check_invariant(False, "effect", what=kind.__name__, error=repr(error))
 
     def carry_out(self, effect, kind) -> None:
         if kind is ev.Answer:
@@ -245,7 +245,7 @@
                 not_sent=kept_back,
                 notices=self.notices.owed,
                 log_bytes=self.store.size,
-                broken=sum(counts.values()),
+                broken=sum(breach_counts.values()),
             )
 
     FLUSH_EVERY = 100 * MS  # for log lines that nobody took at once
--- a/molehill/runtime/scheduler.py
+++ b/molehill/runtime/scheduler.py
@@ -10,7 +10,7 @@
 from greenlet import GreenletExit, getcurrent, greenlet
 
 from molehill.config import MS
-from molehill.holds import holds
+from molehill.invariants import check_invariant
 
 READ, WRITE = select.POLLIN, select.POLLOUT
 # what a wait gives: the descriptor moved, time is up, taken away
@@ -49,7 +49,9 @@
         except GreenletExit:
             pass
         except Exception as error:
-            holds(False, "task", work=getattr(work, "__qualname__", str(work)), error=repr(error))
+            check_invariant(
+                False, "task", work=getattr(work, "__qualname__", str(work)), error=repr(error)
+            )
 
     AGAIN = 100 * MS  # before work that has to go on is begun anew
 
@@ -63,7 +65,7 @@
                     work()
                     done = True
                 except Exception as error:
-                    holds(False, "kept_task", work=work.__qualname__, error=repr(error))
+                    check_invariant(False, "kept_task", work=work.__qualname__, error=repr(error))
                     self.sleep(self.clock() + self.AGAIN)
 
         return self.spawn(kept)
@@ -77,7 +79,7 @@
         """Parks the current task until its descriptor is ready, the time is up, or `resume` is called on it."""
         waiter = Waiter(getcurrent(), fd, self.clock())
         if fd is not None:
-            holds(fd not in self.waiting, "one_waiter_a_descriptor", fd=fd)
+            check_invariant(fd not in self.waiting, "one_waiter_a_descriptor", fd=fd)
             self.waiting[fd] = waiter
             self.poll.register(fd, mask)
         waiter.task.waiter = waiter
@@ -126,7 +128,7 @@
             try:
                 self.turn()
             except Exception as error:  # whatever it is, the relay goes on
-                holds(False, "loop", error=repr(error))
+                check_invariant(False, "loop", error=repr(error))
 
     # between two looks at the descriptors while there is work
     LOOK_AGAIN = 20 * MS
@@ -157,7 +159,7 @@
             try:
                 work(*args)
             except Exception as error:
-                holds(
+                check_invariant(
                     False, "timer", work=getattr(work, "__qualname__", str(work)), error=repr(error)
                 )
         # a task whose time is up goes on before those that can wait
@@ -174,7 +176,7 @@
         self.most_stood = max(self.most_stood, stood)
         for fd, _ in ready:
             waiter = self.waiting.get(fd)
-            if holds(waiter is not None, "waiter_of_a_descriptor", fd=fd):
+            if check_invariant(waiter is not None, "waiter_of_a_descriptor", fd=fd):
                 waiter.came_after = max(waiter.came_after, self.came_after)
                 self._wake(waiter, READY)
             else:
--- a/molehill/shutdown.py
+++ b/molehill/shutdown.py
@@ -9,7 +9,7 @@
 
 from molehill.config import MS
 from molehill.core import events as ev
-from molehill.holds import holds
+from molehill.invariants import check_invariant
 
 SERVING, STOPPING, LETTING_GO, LAST_ANSWERS, CUTTING, ENDED = (
     "serving",
@@ -78,7 +78,7 @@
     def move(self, state) -> None:
         """Every change of the state, and what it brings with it."""
         process, before, self.state = self.process, self.state, state
-        holds(state in NEXT[before], "shutdown_state", before=before, after=state)
+        check_invariant(state in NEXT[before], "shutdown_state", before=before, after=state)
         if state is STOPPING:
             process.log.info("stopping", held=len(process.core.held), out=process.hosts.out)
             process.engine.post(ev.Stop(self.told + AT[LAST_ANSWERS]))
--- a/tests/ledger.py
+++ b/tests/ledger.py
@@ -2,8 +2,7 @@
 
 import socket
 
-from molehill import config
-from molehill import interface as it
+from molehill import config, interface
 from molehill.core import events as ev
 from molehill.core.permission import Refusal
 from molehill.core.reducer import Core
@@ -16,7 +15,7 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-R = it.Result
+R = interface.Result
 MAY_HAVE_RUN = (R.ERROR, R.TIMEOUT, R.RESET, R.CANCELLED)
 
 
@@ -29,8 +28,8 @@
     same_zone=False,
     ordered=False,
 ):
-    return it.Category(
-        it.Effect(effect),
+    return interface.CallbackClass(
+        interface.DeliverySemantics(effect),
         goal * MS,
         abandon * MS,
         payoff,
@@ -44,21 +43,21 @@
 
 def settings(**given):
     base = dict(
-        categories=[category()],
-        kinds=[it.Kind(False, 1)],
-        slots=8,
-        max_launches=6,
-        relays=2,
-        max_held=200,
-        tells_return=True,
-        max_return=2 * SECOND,
-        fall_span=1500 * MS,
-        fall_multiple=2.0,
-        cold_from=0.2,
-        ramp_time=10 * SECOND,
-        settle=100 * MS,
+        callback_classes=[category()],
+        kinds=[interface.HostKind(False, 1)],
+        max_calls=8,
+        max_attempts=6,
+        relay_count=2,
+        max_pending=200,
+        sends_retry_after=True,
+        max_retry_after=2 * SECOND,
+        overload_span=1500 * MS,
+        overload_multiple=2.0,
+        cold_capacity_share=0.2,
+        slow_start_time=10 * SECOND,
+        key_cooldown=100 * MS,
     )
-    return it.Settings(**{**base, **given})
+    return interface.Settings(**{**base, **given})
 
 
 def first_endpoint(module):
@@ -72,7 +71,7 @@
     def __init__(self, given, hosts=((1, 0, 0, 1), (2, 1, 0, 1)), seed=7):
         self.set, self.table = given, {h[0]: h for h in hosts}
         self.now, self.seed, self.serial = SECOND, seed, 0
-        self.start([it.HostEntry(*h, it.Condition.UP, 1.0) for h in hosts])
+        self.start([interface.HostEntry(*h, interface.Condition.UP, 1.0) for h in hosts])
 
     def start(self, entries):
         """A relay killed and started anew knows nothing but its list."""
@@ -80,26 +79,26 @@
         self.open, self.out, self.final, self.sent, self.waits, self.rests = {}, {}, {}, [], {}, {}
         self.up, self.fails, self.shut, self.notes, self.closed = {}, {}, {}, [], []
         self.asked = 0
-        self.step([self.news(it.Scope.RESTORED, entries)])
+        self.step([self.news(interface.ListScope.RESTORED, entries)])
 
     def news(self, scope, entries):
-        if scope is not it.Scope.UPDATE:
+        if scope is not interface.ListScope.UPDATE:
             self.up = {}
-        self.up.update({e.host: e.condition is it.Condition.UP for e in entries})
-        return it.ListNews(scope, list(entries))
+        self.up.update({e.host: e.condition is interface.Condition.UP for e in entries})
+        return interface.HostListUpdate(scope, list(entries))
 
     def route(self, host):
         _, _, kind, destination = self.table[host]
-        return host if self.set.kinds[kind].apart else -destination
+        return host if self.set.kinds[kind].separate_routes else -destination
 
     def take(self, cat=0, destination=1, key=None, tenant=0, abandon=None):
         self.serial += 1
-        row = self.set.categories[cat]
-        due = self.now + (row.abandon if abandon is None else abandon)
+        row = self.set.callback_classes[cat]
+        due = self.now + (row.time_limit if abandon is None else abandon)
         self.open[self.serial] = dict(
             row=row, key=key if row.ordered else None, due=due, launches=[]
         )
-        self.step([it.NewCallback(self.serial, cat, tenant, key, due, destination)])
+        self.step([interface.NewCallback(self.serial, cat, tenant, key, due, destination)])
         return self.serial
 
     def outcome(self, number, result, wait=0, told=(0.0, None)):
@@ -109,31 +108,31 @@
         if result in MAY_HAVE_RUN and entry is not None:
             entry.setdefault("bound", (sent, self.table[host][1]))
         if result in (R.TIMEOUT, R.RESET, R.CANCELLED) and entry is not None and entry["key"]:
-            self.rests[entry["key"]] = self.now + self.set.settle
+            self.rests[entry["key"]] = self.now + self.set.key_cooldown
         if result is R.DELIVERED:
             self.fails[host] = 0
             if number in self.open:
                 self.final[number] = self.open.pop(number)
-        elif result not in (R.FULL, R.CANCELLED) and (
+        elif result not in (R.REFUSED, R.CANCELLED) and (
             result is not R.TIMEOUT or entry and entry["due"] > self.now
         ):
             self.fails[host] = self.fails.get(host, 0) + 1
             if self.fails[host] == 4:
                 self.shut[host] = self.now
-        if result is R.FULL and wait:
+        if result is R.REFUSED and wait:
             route = self.route(host)
             self.waits[route] = max(self.waits.get(route, 0), self.now + wait)
         attempts = len(entry["launches"]) - 1 if entry else 0
-        return it.Outcome(
+        return interface.Outcome(
             number,
             attempts,
             host,
             result,
             self.now - sent,
-            wait if result is R.FULL else 0,
+            wait if result is R.REFUSED else 0,
             number in self.final,
             told[0],
-            told_left=told[1],
+            advertised_share_left=told[1],
         )
 
     def answer(self, number, result=R.DELIVERED, wait=0, told=(0.0, None)):
@@ -147,59 +146,66 @@
             self.now = min(until, max(self.now + 1, min(nexts)))
             late = [n for n, (_, _, end) in self.out.items() if end <= self.now]
             events = [self.outcome(n, R.TIMEOUT) for n in late]
-            self.step(events + [it.Timer("wake")])
+            self.step(events + [interface.TimerExpired("wake")])
 
     def step(self, events=()):
         self.wake = (
-            None if any(type(e) is it.Timer for e in events) else getattr(self, "wake", None)
+            None
+            if any(type(e) is interface.TimerExpired for e in events)
+            else getattr(self, "wake", None)
         )
         for action in self.relay.step(self.now, list(events)):
             getattr(self, "on_" + type(action).__name__.lower())(action)
         for number, entry in self.open.items():
             assert entry["due"] > self.now, f"rule 1: {number} has no final answer in time"
-        share = max(1, self.set.slots * 3 // 4)
+        share = max(1, self.set.max_calls * 3 // 4)
         for destination in {h[3] for h in self.table.values()}:
             sends = [
                 (h, sent) for h, sent, _ in self.out.values() if self.table[h][3] == destination
             ]
-            size = self.set.kinds[self.table[sends[0][0]][2]].per_call if sends else 1
+            size = self.set.kinds[self.table[sends[0][0]][2]].callbacks_per_call if sends else 1
             calls = sum(-(-sends.count(call) // size) for call in set(sends))
             assert calls <= share, "the slot share is kept"
 
-    def on_wake(self, action):
-        assert action.span > 0
-        self.wake = min(self.wake or self.now + action.span, self.now + action.span)
+    def on_settimer(self, action):
+        assert action.delay > 0
+        self.wake = min(self.wake or self.now + action.delay, self.now + action.delay)
 
-    def on_health(self, action):
+    def on_reporthealth(self, action):
         self.notes.append(action.text)
 
     def on_closeidle(self, action):
         assert action.host in self.table
         self.closed.append(action.host)
 
-    def on_followlist(self, _):
+    def on_watchhostlist(self, _):
         self.asked += 1
 
-    def on_launch(self, action):
+    def on_startattempt(self, action):
         number, host, now = action.callback, action.host, self.now
         assert number in self.open and number not in self.out, "rules 1, 2: open, and none out"
         entry = self.open[number]
         row = entry["row"]
         assert (
             entry["due"] > now
-            and len(entry["launches"]) < self.set.max_launches
-            and action.time_out > 0
+            and len(entry["launches"]) < self.set.max_attempts
+            and action.timeout > 0
         )
         if "bound" in entry:
             sent, zone = entry["bound"]
             assert (
-                row.effect is not it.Effect.AT_MOST_ONCE
+                row.semantics is not interface.DeliverySemantics.AT_MOST_ONCE
             ), "rule 2: an exclusive callback that may have run"
-            if row.effect is it.Effect.DEDUPLICATED:
-                assert now <= sent + row.window, "rule 2: a repeat after the window"
-                assert row.all_hosts or self.table[host][1] == zone, "rule 2: a repeat out of scope"
+            if row.semantics is interface.DeliverySemantics.DEDUPLICATED:
+                assert now <= sent + row.deduplication_window, "rule 2: a repeat after the window"
+                assert (
+                    row.deduplicated_everywhere or self.table[host][1] == zone
+                ), "rule 2: a repeat out of scope"
         assert self.up.get(host), "rule 3: new work for a host that drains or is gone"
-        if self.fails.get(host, 0) >= 4 and self.set.kinds[self.table[host][2]].per_call == 1:
+        if (
+            self.fails.get(host, 0) >= 4
+            and self.set.kinds[self.table[host][2]].callbacks_per_call == 1
+        ):
             trials = [
                 h for h, sent, _ in self.out.values() if h == host and sent >= self.shut[host]
             ]
@@ -211,7 +217,7 @@
             for other, earlier in list(self.open.items()) + ended:
                 assert other >= number or earlier["key"] != entry["key"], "rule 5: out of turn"
         entry["launches"].append(host)
-        self.out[number] = (host, now, min(now + action.time_out, entry["due"]))
+        self.out[number] = (host, now, min(now + action.timeout, entry["due"]))
         self.sent.append((now, host))
 
     def on_reject(self, action):
@@ -220,8 +226,11 @@
         assert action.callback not in self.out, "rule 2: denied with a launch out"
         assert (
             "bound" not in entry
-            or row.effect is it.Effect.IDEMPOTENT
-            or (row.effect is it.Effect.DEDUPLICATED and row.all_hosts)
+            or row.semantics is interface.DeliverySemantics.IDEMPOTENT
+            or (
+                row.semantics is interface.DeliverySemantics.DEDUPLICATED
+                and row.deduplicated_everywhere
+            )
         ), "rule 2: denied though it may have run"
         self.final[action.callback] = self.open.pop(action.callback)
 
@@ -249,7 +258,8 @@
         self.folder, self.set, self.make, self.most = str(folder), given, make_module, most
         self.now, self.serial, self.effects_left = 1000 * SECOND, 0, None
         self.hosts = {
-            h[0]: ev.Host(h[0], ("127.0.0.1", 1), *h[1:], it.Condition.UP, 1.0) for h in hosts
+            h[0]: ev.Host(h[0], ("127.0.0.1", 1), *h[1:], interface.Condition.UP, 1.0)
+            for h in hosts
         }
         self.owed, self.ended, self.notices, self.rows, self.ran = {}, {}, {}, {}, {}
         self.answers, self.out, self.waits, self.gone, self.said = {}, {}, {}, set(), []
@@ -271,7 +281,7 @@
         )
         # callback -> how it ended in this life, None: in an earlier one, and the log says so
         self.counted = {i: None for i in self.ended if i not in self.core.held}
-        self.post(ev.Listed(it.Scope.RESTORED, list(self.hosts.values())))
+        self.post(ev.Listed(interface.ListScope.RESTORED, list(self.hosts.values())))
         self.post(ev.Begin())
         self.step()
 
@@ -322,7 +332,7 @@
         held = [c.state for c in self.core.held.values()]
         assert self.core.figures.open_requests == held.count("taken") + held.count("held")
         assert self.core.figures.registry_entries == sum(
-            h.condition is not it.Condition.GONE for h in self.core.hosts.values()
+            h.condition is not interface.Condition.GONE for h in self.core.hosts.values()
         )
 
     def advance(self, span):
@@ -338,8 +348,8 @@
 
     def take(self, cat=0, destination=1, key=None, span=None, gone=False, body=b"body", step=True):
         self.serial += 1
-        number, row = f"c{self.serial:04d}", self.set.categories[cat]
-        due = self.now + (row.abandon if span is None else span)
+        number, row = f"c{self.serial:04d}", self.set.callback_classes[cat]
+        due = self.now + (row.time_limit if span is None else span)
         self.rows[number] = (row, key if row.ordered else None, due, self.serial)
         if gone:
             self.gone.add(number)
@@ -375,7 +385,7 @@
         if not left:
             del self.out[number]
         for i in ids:
-            if result not in (R.FULL, R.NO_CONNECT, R.NOT_SENT):
+            if result not in (R.REFUSED, R.NO_CONNECT, R.NOT_SENT):
                 self.ran.setdefault(i, self.sent[i])
         if wait:
             self.waits[self.hosts[call.host].destination] = self.now + wait
@@ -420,7 +430,7 @@
 
     def on_call(self, effect):
         host = self.hosts[effect.host]
-        assert host.condition is it.Condition.UP, "rule 3"
+        assert host.condition is interface.Condition.UP, "rule 3"
         assert self.waits.get(host.destination, 0) <= self.now, "rule 6"
         for m in effect.members:
             row, key, due, order = self.rows[m.id]
@@ -432,9 +442,10 @@
                 m.id != o.id for _, ms in self.out.values() for o in ms
             ), "rule 2: two at once"
             if m.id in self.ran:
-                assert row.effect is not it.Effect.AT_MOST_ONCE, "rule 2"
+                assert row.semantics is not interface.DeliverySemantics.AT_MOST_ONCE, "rule 2"
                 assert (
-                    row.effect is it.Effect.IDEMPOTENT or self.now <= self.ran[m.id] + row.window
+                    row.semantics is interface.DeliverySemantics.IDEMPOTENT
+                    or self.now <= self.ran[m.id] + row.deduplication_window
                 ), "rule 2"
             for other, (_, its_key, _, its_order) in self.rows.items():
                 if key is not None and its_key == key and its_order < order and other in self.owed:
@@ -451,7 +462,7 @@
         assert (
             not effect.denied
             or effect.id not in self.ran
-            or row.effect is not it.Effect.AT_MOST_ONCE
+            or row.semantics is not interface.DeliverySemantics.AT_MOST_ONCE
         ), "rule 2"
         self.notices[effect.id] = effect
         self.counted.setdefault(effect.id, "throttled" if effect.denied else "faulted")
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -4,8 +4,7 @@
 
 import pytest
 
-from molehill import config
-from molehill import interface as it
+from molehill import config, interface
 from molehill.benchlink import codec
 
 MS = 1_000_000
@@ -56,19 +55,27 @@
 
 def test_nested_settings_read_as_the_bench_s_pairs_do():
     pairs = config.flat(GIVEN["settings"])
-    made = config.settings(codec.pairs([f"{key}={value}" for key, value in pairs.items()]))
+    made = config.settings(codec.parse_pairs([f"{key}={value}" for key, value in pairs.items()]))
     assert made == config.settings(pairs)
     assert made.connection_idle == 1500250000 and made.kinds == [
-        it.Kind(False, 10),
-        it.Kind(True, 1),
+        interface.HostKind(False, 10),
+        interface.HostKind(True, 1),
     ]
-    assert made.categories[0] == it.Category(
-        it.Effect.DEDUPLICATED, 10 * MS, 2000 * MS, 1.0, 0.0, 30 * MS, True, False, True
+    assert made.callback_classes[0] == interface.CallbackClass(
+        interface.DeliverySemantics.DEDUPLICATED,
+        10 * MS,
+        2000 * MS,
+        1.0,
+        0.0,
+        30 * MS,
+        True,
+        False,
+        True,
     )
     assert (
-        made.tenants == [it.Tenant(0.5, None)]
+        made.tenants == [interface.Tenant(0.5, None)]
         and made.zone_fees == [0.5, 0.0]
-        and made.max_held == 9
+        and made.max_pending == 9
     )
 
 
@@ -81,16 +88,16 @@
         and made.zones["b"] == 1
     )
     assert made.period == config.PERIOD and made.connect_time_out == config.CONNECT_TIME_OUT
-    assert (made.settings.slots, made.sockets, made.client_sockets) == (4, 92, 46)
+    assert (made.settings.max_calls, made.sockets, made.client_sockets) == (4, 92, 46)
     tight = config.check(changed("limits.sockets", 40), {})
-    assert (tight.settings.slots, tight.sockets, tight.client_sockets) == (4, 32, 16)
+    assert (tight.settings.max_calls, tight.sockets, tight.client_sockets) == (4, 32, 16)
     tight = config.check({**changed("settings.extra.maxCalls", 90), "limits": {"sockets": 40}}, {})
-    assert (tight.settings.slots, tight.client_sockets) == (
+    assert (tight.settings.max_calls, tight.client_sockets) == (
         20,
         8,
     ), "no more calls than can have a connection"
     assert (
-        made.settings.tells_limit
+        made.settings.limits_are_advertised
         and made.settings.list_on_request
         and (made.disk, made.memory) == (2 * 10**6, 64500000)
     )
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -7,8 +7,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 
-from molehill import holds
-from molehill import interface as it
+from molehill import interface, invariants
 from molehill.config import CONNECT_TIME_OUT
 from molehill.core import events as ev
 from molehill.core.permission import Refusal
@@ -19,7 +18,7 @@
 from tests.ledger import MS, SECOND, R, Wire, category, settings
 
 HOSTS = (("h1", 0, 0, 1), ("h2", 0, 0, 1), ("h3", 0, 1, 2))
-KINDS = [it.Kind(False, 1), it.Kind(False, 4)]
+KINDS = [interface.HostKind(False, 1), interface.HostKind(False, 4)]
 
 
 def wire(folder, hosts=HOSTS, **given):
@@ -54,7 +53,8 @@
         core,
         1000 * SECOND,
         ev.Listed(
-            it.Scope.RESTORED, [ev.Host("h1", ("127.0.0.1", 1), 0, 0, 1, it.Condition.UP, 1.0)]
+            interface.ListScope.RESTORED,
+            [ev.Host("h1", ("127.0.0.1", 1), 0, 0, 1, interface.Condition.UP, 1.0)],
         ),
         ev.Begin(),
         ev.Step(),
@@ -94,28 +94,30 @@
 ):
     """Danger: one that is held comes to bear another's row when classes appear, vanish or change under its name."""
     it_was, strict = category(abandon=60_000), category(abandon=61_000)
-    world = wire(tmp_path, categories=[it_was])
+    world = wire(tmp_path, callback_classes=[it_was])
     first = world.take()
     # the name means something else, then again, beside one that vanishes
     for n in range(40):
         rows = [strict, category("ticketed", abandon=5000 + n)]
         world.post(
-            ev.Retuned(settings(kinds=KINDS, list_on_request=True, categories=rows), ["0", "later"])
+            ev.Retuned(
+                settings(kinds=KINDS, list_on_request=True, callback_classes=rows), ["0", "later"]
+            )
         )
         world.step()
         if n == 20:
-            world.set.categories = [it_was, strict]
+            world.set.callback_classes = [it_was, strict]
             second = world.take(cat=world.core.classes.current["0"])
             world.kill()
     assert len(world.core.classes.rows) <= 5
     rows = [world.core.classes.rows[world.core.held[i].category] for i in (first, second)]
     assert (
         rows == [it_was, strict]
-        and [world.core.module.state.held[i].category for i in (first, second)] == rows
+        and [world.core.module.state.callbacks_by_id[i].category for i in (first, second)] == rows
     )
     assert world.store.rewrite(world.core.snapshot())
     # as the file of the next start has it
-    world.set = settings(kinds=KINDS, list_on_request=True, categories=[strict])
+    world.set = settings(kinds=KINDS, list_on_request=True, callback_classes=[strict])
     world.kill()
     assert [world.core.classes.rows[world.core.held[i].category] for i in (first, second)] == [
         it_was,
@@ -130,9 +132,9 @@
     world = wire(tmp_path, hosts=HOSTS[:1])
     number = world.take()
     world.end(next(iter(world.out)), R.ERROR)
-    world.post(ev.Retuned(settings(kinds=KINDS, list_on_request=True, max_launches=1), ["0"]))
+    world.post(ev.Retuned(settings(kinds=KINDS, list_on_request=True, max_attempts=1), ["0"]))
     world.step()
-    assert list(world.notices) == [number] and number not in world.core.module.state.held
+    assert list(world.notices) == [number] and number not in world.core.module.state.callbacks_by_id
 
 
 def test_a_client_gone_before_its_answer_has_its_callback_back():
@@ -140,7 +142,12 @@
     effects_of(core, now, ev.Arrived("c", fresh()), ev.Step())
     effects = effects_of(core, now, ev.Unheard("a", "c"), ev.Step())
     assert not any(type(e) in (ev.Call, ev.Notify) for e in effects)
-    assert not core.held and not core.parked and not core.module.state.held and core.used == 0
+    assert (
+        not core.held
+        and not core.parked
+        and not core.module.state.callbacks_by_id
+        and core.used == 0
+    )
 
 
 def test_a_request_sent_again_on_a_new_connection_is_taken_on_once():
@@ -184,7 +191,7 @@
 
     def core_of(store):
         core = Core(
-            settings(categories=[category("exclusive", abandon=90000, ordered=True)] * 2),
+            settings(callback_classes=[category("exclusive", abandon=90000, ordered=True)] * 2),
             1,
             Dispatcher,
             100_000,
@@ -194,7 +201,8 @@
             core,
             now,
             ev.Listed(
-                it.Scope.RESTORED, [ev.Host("h1", ("127.0.0.1", 1), 0, 0, 1, it.Condition.UP, 1.0)]
+                interface.ListScope.RESTORED,
+                [ev.Host("h1", ("127.0.0.1", 1), 0, 0, 1, interface.Condition.UP, 1.0)],
             ),
             ev.Begin(),
         )
@@ -239,7 +247,7 @@
 
 def test_ids_lately_over_outlast_the_rewrites_of_a_log_that_stays_small(tmp_path):
     """Danger: a client whose connection broke sends its request once more after the restart, and it runs twice."""
-    world = wire(tmp_path, categories=[category("exclusive", abandon=60000)])
+    world = wire(tmp_path, callback_classes=[category("exclusive", abandon=60000)])
     world.most = 40_000
     world.kill()
     for n in range(400):
@@ -282,7 +290,7 @@
     core, now = bare_core(), 1001 * SECOND
     effects = effects_of(core, now, ev.Arrived("c", fresh()), ev.Unheard("a", "c"), ev.Step())
     assert not any(type(e) in (ev.Call, ev.Answer) for e in effects)
-    assert not core.held and not core.module.state.held and core.used == 0
+    assert not core.held and not core.module.state.callbacks_by_id and core.used == 0
 
 
 def test_what_is_denied_at_once_is_answered_at_the_door_and_not_logged():
@@ -291,7 +299,9 @@
     assert [(type(e), e.status) for e in effects] == [(ev.Answer, 500)] and not core.held
 
 
-@pytest.mark.parametrize("given,body", [(dict(max_held=2), b"x"), (dict(room=5000), b"x" * 1500)])
+@pytest.mark.parametrize(
+    "given,body", [(dict(max_pending=2), b"x"), (dict(room=5000), b"x" * 1500)]
+)
 def test_a_full_relay_or_log_refuses_at_the_door(given, body):
     core, now = bare_core(**given), 1001 * SECOND
     for number in "abc":
@@ -310,7 +320,7 @@
 
 
 def test_a_later_end_goes_by_notice_and_its_key_waits_for_the_answer(tmp_path):
-    world = wire(tmp_path, categories=[category("exclusive", ordered=True)])
+    world = wire(tmp_path, callback_classes=[category("exclusive", ordered=True)])
     first, second = world.take(key="k"), world.take(key="k")
     number = next(iter(world.out))
     world.end(number, R.ERROR)
@@ -331,7 +341,7 @@
     "effect,result,again",
     [
         ("exclusive", R.NO_CONNECT, True),
-        ("exclusive", R.FULL, True),
+        ("exclusive", R.REFUSED, True),
         ("exclusive", R.RESET, False),
         ("exclusive", None, False),
         ("ticketed", None, True),
@@ -339,7 +349,9 @@
     ],
 )
 def test_after_a_restart_it_is_known_whether_a_launch_may_have_run(tmp_path, effect, result, again):
-    world = wire(tmp_path, categories=[category(effect, goal=19000, abandon=20000, window=9000)])
+    world = wire(
+        tmp_path, callback_classes=[category(effect, goal=19000, abandon=20000, window=9000)]
+    )
     number = world.take()
     if result is not None:
         world.end(next(iter(world.out)), result)
@@ -355,7 +367,9 @@
     tmp_path, effect, rewritten
 ):
     """Danger: logged as out while its connection came up, one that must not run twice is given up though no host has seen it."""
-    world = wire(tmp_path, categories=[category(effect, goal=19000, abandon=20000, window=2000)])
+    world = wire(
+        tmp_path, callback_classes=[category(effect, goal=19000, abandon=20000, window=2000)]
+    )
     world.slow = True
     number = world.take()
     assert world.out and not world.begun
@@ -377,7 +391,7 @@
     tmp_path, hosts
 ):
     """Danger: discovery is down at the start, and what is owed is turned away for a destination that the file does not know yet."""
-    world = wire(tmp_path, categories=[category("exclusive", abandon=20000)])
+    world = wire(tmp_path, callback_classes=[category("exclusive", abandon=20000)])
     world.slow = True
     number = world.take()
     listed, world.hosts = world.hosts, {h[0]: world.hosts[h[0]] for h in hosts}
@@ -387,7 +401,7 @@
     newcomer = world.take()
     assert world.answers[newcomer] == 503, "a new one is turned away as ever"
     world.hosts = listed
-    world.post(ev.Listed(it.Scope.WHOLE, list(listed.values())))
+    world.post(ev.Listed(interface.ListScope.WHOLE, list(listed.values())))
     world.step()
     assert [m.id for _, ms in world.out.values() for m in ms] == [number]
     world.hosts = {}
@@ -405,11 +419,11 @@
     world = wire(
         tmp_path,
         hosts=HOSTS[:1],
-        max_held=32,
-        slots=1,
-        tenants=[it.Tenant(1.0, 2.0)],
-        over_share_payoff=0.1,
-        categories=[category("exclusive", abandon=60000)],
+        max_pending=32,
+        max_calls=1,
+        tenants=[interface.Tenant(1.0, 2.0)],
+        over_quota_value_factor=0.1,
+        callback_classes=[category("exclusive", abandon=60000)],
     )
     world.slow = True
     held = []
@@ -417,22 +431,24 @@
         held.append(world.take())
         world.now += SECOND  # just as many as its share allows
     world.kill()
-    assert not any(world.core.module.state.held[number].lane[1] for number in held)
+    assert not any(
+        world.core.module.state.callbacks_by_id[number].queue_group[1] for number in held
+    )
     newcomers = [world.take() for _ in range(12)]
     assert [world.answers[number] for number in newcomers].count(503) > 9 and not set(
         world.notices
     ) & set(held)
-    assert set(held) <= set(world.core.held) and len(world.core.module.state.held) <= 32
+    assert set(held) <= set(world.core.held) and len(world.core.module.state.callbacks_by_id) <= 32
 
 
 def test_what_may_go_no_more_after_a_restart_ends_at_once_though_it_is_not_its_turn(tmp_path):
     world = wire(
         tmp_path,
-        categories=[
+        callback_classes=[
             category("rerunnable", abandon=90000, ordered=True),
             category("exclusive", abandon=90000, ordered=True),
         ],
-        slots=1,
+        max_calls=1,
     )
     world.take(0)
     second = world.take(1, destination=2, key="k")
@@ -447,11 +463,11 @@
 
 
 def test_a_ticketed_one_is_not_repeated_after_its_window_though_the_log_was_rewritten(tmp_path):
-    world = wire(tmp_path, categories=[category("ticketed", abandon=60000, window=3000)])
+    world = wire(tmp_path, callback_classes=[category("ticketed", abandon=60000, window=3000)])
     number = world.take()
     world.end(next(iter(world.out)), R.RESET)
     world.step()
-    world.end(next(iter(world.out)), R.FULL)
+    world.end(next(iter(world.out)), R.REFUSED)
     assert world.store.rewrite(world.core.snapshot())
     world.now += 4 * SECOND
     world.kill()
@@ -462,7 +478,9 @@
 @pytest.mark.parametrize("effect", ["exclusive", "rerunnable"])
 def test_over_two_kills_a_key_still_rests(tmp_path, effect):
     world = wire(
-        tmp_path, categories=[category(effect, abandon=60000, ordered=True)], settle=3 * SECOND
+        tmp_path,
+        callback_classes=[category(effect, abandon=60000, ordered=True)],
+        key_cooldown=3 * SECOND,
     )
     first, second = world.take(key="k"), world.take(key="k")
     world.kill()
@@ -480,7 +498,10 @@
 
 def test_a_callback_that_was_over_while_its_call_was_out_leaves_its_key_a_rest():
     core, now = (
-        bare_core(categories=[category("rerunnable", abandon=9000, ordered=True)], settle=SECOND),
+        bare_core(
+            callback_classes=[category("rerunnable", abandon=9000, ordered=True)],
+            key_cooldown=SECOND,
+        ),
         1001 * SECOND,
     )
     for record, body in (
@@ -506,7 +527,7 @@
 
 
 def test_over_two_kills_the_window_counts_from_the_first_launch(tmp_path):
-    world = wire(tmp_path, categories=[category("ticketed", abandon=60000, window=3000)])
+    world = wire(tmp_path, callback_classes=[category("ticketed", abandon=60000, window=3000)])
     number = world.take()
     world.now += 2 * SECOND
     # its launch may have run; it goes again, inside the window
@@ -521,7 +542,7 @@
 
 @pytest.mark.parametrize("effect,goes", [("ticketed", False), ("rerunnable", True)])
 def test_a_connection_that_came_up_after_the_window_does_not_carry_a_repeat(tmp_path, effect, goes):
-    world = wire(tmp_path, categories=[category(effect, abandon=60000, window=3000)])
+    world = wire(tmp_path, callback_classes=[category(effect, abandon=60000, window=3000)])
     number = world.take()
     first = world.now
     world.end(next(iter(world.out)), R.RESET)
@@ -538,8 +559,8 @@
 def test_a_key_rests_over_a_restart_and_keeps_its_order(tmp_path):
     world = wire(
         tmp_path,
-        categories=[category("rerunnable", abandon=60000, ordered=True)],
-        settle=2 * SECOND,
+        callback_classes=[category("rerunnable", abandon=60000, ordered=True)],
+        key_cooldown=2 * SECOND,
     )
     numbers = [world.take(key="k") for _ in range(3)]
     world.end(next(iter(world.out)), R.RESET)
@@ -554,7 +575,9 @@
 
 
 def test_a_call_kept_back_by_an_unanswered_notice_gives_its_slot_to_others(tmp_path):
-    world = wire(tmp_path, categories=[category("exclusive", abandon=20000, ordered=True)], slots=1)
+    world = wire(
+        tmp_path, callback_classes=[category("exclusive", abandon=20000, ordered=True)], max_calls=1
+    )
     world.take(key="k")
     world.take(key="k")
     world.end(next(iter(world.out)), R.ERROR)
@@ -567,7 +590,10 @@
 
 def test_what_the_relay_itself_keeps_back_uses_up_no_launch(tmp_path):
     world = wire(
-        tmp_path, categories=[category("rerunnable", abandon=60000)], max_launches=2, slots=1
+        tmp_path,
+        callback_classes=[category("rerunnable", abandon=60000)],
+        max_attempts=2,
+        max_calls=1,
     )
     number = world.take()
     for _ in range(5):
@@ -595,7 +621,10 @@
     tmp_path, rewritten
 ):
     world = wire(
-        tmp_path, hosts=HOSTS[:1], categories=[category("rerunnable", abandon=120_000)], slots=20
+        tmp_path,
+        hosts=HOSTS[:1],
+        callback_classes=[category("rerunnable", abandon=120_000)],
+        max_calls=20,
     )
     for _ in range(12):
         world.take()
@@ -629,7 +658,9 @@
 
 
 def test_the_launches_that_are_left_are_counted_over_restarts(tmp_path):
-    world = wire(tmp_path, categories=[category("rerunnable", abandon=600_000)], max_launches=3)
+    world = wire(
+        tmp_path, callback_classes=[category("rerunnable", abandon=600_000)], max_attempts=3
+    )
     number = world.take()
     for _ in range(2):
         world.kill()
@@ -639,24 +670,26 @@
 
 
 def test_a_call_that_waited_to_go_is_given_back_when_its_host_drains_or_tells_a_wait():
-    for listed, wait in ((it.Condition.DRAINING, 0), (it.Condition.UP, SECOND)):
+    for listed, wait in ((interface.Condition.DRAINING, 0), (interface.Condition.UP, SECOND)):
         core, now = bare_core(), 1001 * SECOND
         effects_of(core, now, ev.Arrived("c", fresh()), ev.Arrived("d", fresh("b")), ev.Step())
         call = effects_of(core, now, ev.Heard("a", "c"))[0]
         effects_of(
             core,
             now,
-            ev.Listed(it.Scope.UPDATE, [ev.Host("h1", ("127.0.0.1", 1), 0, 0, 1, listed, 1.0)]),
+            ev.Listed(
+                interface.ListScope.UPDATE, [ev.Host("h1", ("127.0.0.1", 1), 0, 0, 1, listed, 1.0)]
+            ),
         )
         if wait:
-            effects_of(core, now, ev.Ended(call.number, 5, [ev.End("a", R.FULL, wait)]))
+            effects_of(core, now, ev.Ended(call.number, 5, [ev.End("a", R.REFUSED, wait)]))
         why = Refusal.TOLD_TO_WAIT if wait else Refusal.HOST_NOT_UP
         # the one that was out: told to wait, it is over; at the host that drains, it may not be written
         assert core.refusal(call.number, now) is (Refusal.CALLED_OFF if wait else why)
         effects = effects_of(core, now, ev.Heard("b", "d"))
         assert not [e for e in effects if type(e) is ev.Call]
         assert [e.why for e in effects if type(e) is ev.NotSent] == [why]
-        assert [e.result for e in core.inbox if type(e) is it.Outcome][-1] is R.NOT_SENT
+        assert [e.result for e in core.inbox if type(e) is interface.Outcome][-1] is R.NOT_SENT
         assert core.held["b"].launches == 0
 
 
@@ -664,9 +697,9 @@
     """Danger: waited for, its answer comes too late for the one and is no delivery for the others either."""
     world = wire(
         tmp_path,
-        categories=[category("ticketed", ordered=True, abandon=20000)],
-        slots=1,
-        settle=100 * MS,
+        callback_classes=[category("ticketed", ordered=True, abandon=20000)],
+        max_calls=1,
+        key_cooldown=100 * MS,
     )
     world.take(destination=2)
     first = world.take(destination=2, key="k", span=700 * MS, step=False)
@@ -690,7 +723,9 @@
 
 
 def test_callbacks_of_one_call_each_have_their_own_end(tmp_path):
-    world = wire(tmp_path, categories=[category("exclusive", goal=19000, abandon=20000)], slots=1)
+    world = wire(
+        tmp_path, callback_classes=[category("exclusive", goal=19000, abandon=20000)], max_calls=1
+    )
     world.take(destination=2)
     for _ in range(4):
         world.take(destination=2, step=False)
@@ -698,7 +733,7 @@
     world.step()
     ((number, (call, members)),) = world.out.items()
     assert call.bundle and len(members) == 4
-    for result, member in zip((R.DELIVERED, R.ERROR, R.FULL, R.NOT_SENT), list(members)):
+    for result, member in zip((R.DELIVERED, R.ERROR, R.REFUSED, R.NOT_SENT), list(members)):
         world.end(number, result, ids=[member.id], spent=result is R.NOT_SENT)
     world.step()
     assert set(world.notices) == {
@@ -745,11 +780,11 @@
 @pytest.mark.parametrize("at", [2, 3, 4])
 def test_a_fault_of_the_module_loses_nothing(tmp_path, monkeypatch, at):
     monkeypatch.setattr(
-        "molehill.core.reducer.holds", lambda condition, name, **facts: bool(condition)
+        "molehill.core.reducer.check_invariant", lambda condition, name, **facts: bool(condition)
     )
     world = Wire(
         tmp_path,
-        settings(kinds=KINDS, categories=[category("ticketed", abandon=20000, window=9000)]),
+        settings(kinds=KINDS, callback_classes=[category("ticketed", abandon=20000, window=9000)]),
         HOSTS,
         breaking(at),
     )
@@ -766,11 +801,14 @@
 
 def test_no_notice_overtakes_a_call_that_was_out_as_the_module_broke(monkeypatch):
     monkeypatch.setattr(
-        "molehill.core.reducer.holds", lambda condition, name, **facts: bool(condition)
+        "molehill.core.reducer.check_invariant", lambda condition, name, **facts: bool(condition)
+    )
+    core, now = (
+        Core(settings(callback_classes=[category("exclusive")]), 1, breaking(3), 100_000),
+        SECOND,
     )
-    core, now = Core(settings(categories=[category("exclusive")]), 1, breaking(3), 100_000), SECOND
-    hosts = [ev.Host("h1", ("127.0.0.1", 1), 0, 0, 1, it.Condition.UP, 1.0)]
-    effects_of(core, now, ev.Listed(it.Scope.RESTORED, hosts), ev.Begin(), ev.Step())
+    hosts = [ev.Host("h1", ("127.0.0.1", 1), 0, 0, 1, interface.Condition.UP, 1.0)]
+    effects_of(core, now, ev.Listed(interface.ListScope.RESTORED, hosts), ev.Begin(), ev.Step())
     effects_of(core, now, ev.Arrived("c", fresh()), ev.Step())
     (call,) = effects_of(core, now, ev.Heard("a", "c"))
     effects_of(core, now, ev.Begun(call.number))
@@ -783,11 +821,11 @@
 def test_a_callback_that_the_module_forgets_is_ended_by_the_core(tmp_path, monkeypatch):
     class Forgetful(Dispatcher):
         def step(self, now, events):
-            kept = [event for event in events if type(event) is not it.NewCallback]
+            kept = [event for event in events if type(event) is not interface.NewCallback]
             return super().step(now, kept)
 
     monkeypatch.setattr(
-        "molehill.core.reducer.holds", lambda condition, name, **facts: bool(condition)
+        "molehill.core.reducer.check_invariant", lambda condition, name, **facts: bool(condition)
     )
     world = Wire(tmp_path, settings(kinds=KINDS), HOSTS, Forgetful)
     number = world.take()
@@ -802,14 +840,15 @@
     for number in range(30):
         now += 5 * SECOND
         for name, condition in (
-            (f"n{number - 1}", it.Condition.GONE),
-            (f"n{number}", it.Condition.UP),
+            (f"n{number - 1}", interface.Condition.GONE),
+            (f"n{number}", interface.Condition.UP),
         ):
             core.hosts.waits[name], core.hosts.away[name] = now + 1, now + SECOND
             core.reduce(
                 now,
                 ev.Listed(
-                    it.Scope.UPDATE, [ev.Host(name, ("127.0.0.1", 1), 0, 0, 2, condition, 1.0)]
+                    interface.ListScope.UPDATE,
+                    [ev.Host(name, ("127.0.0.1", 1), 0, 0, 2, condition, 1.0)],
                 ),
             )
         core.hosts.away["never listed"] = None
@@ -823,19 +862,19 @@
     effects_of(
         core, now, ev.Arrived("c", fresh(due=now + 900 * SECOND)), ev.Step(), ev.Heard("a", "c")
     )
-    gone = ev.Host("h1", ("127.0.0.1", 1), 0, 0, 1, it.Condition.GONE, 1.0)
+    gone = ev.Host("h1", ("127.0.0.1", 1), 0, 0, 1, interface.Condition.GONE, 1.0)
     for later in (0, 100 * SECOND):
-        core.reduce(now + later, ev.Listed(it.Scope.UPDATE, [gone]))
+        core.reduce(now + later, ev.Listed(interface.ListScope.UPDATE, [gone]))
     assert "h1" in core.hosts
     (number,) = core.calls
     effects_of(
         core,
         now + 101 * SECOND,
         ev.Ended(number, 1, [ev.End("a", R.DELIVERED, closed=True)]),
-        ev.Listed(it.Scope.UPDATE, []),
+        ev.Listed(interface.ListScope.UPDATE, []),
         ev.Step(),
     )
-    core.reduce(now + 162 * SECOND, ev.Listed(it.Scope.UPDATE, []))
+    core.reduce(now + 162 * SECOND, ev.Listed(interface.ListScope.UPDATE, []))
     assert "h1" not in core.hosts and "never listed" not in core.hosts.away
 
 
@@ -880,7 +919,7 @@
 
 
 def test_shortly_before_its_end_the_relay_launches_nothing_that_would_be_cut_off(tmp_path):
-    world = wire(tmp_path, categories=[category("exclusive", abandon=20000)])
+    world = wire(tmp_path, callback_classes=[category("exclusive", abandon=20000)])
     world.post(ev.Stop(world.now + 3 * SECOND))
     world.take()
     assert len(world.out) == 1, "there is time enough"
@@ -894,29 +933,29 @@
 
 def test_what_must_hold_is_asserted_here_and_counted_in_release_builds():
     with pytest.raises(AssertionError):
-        holds.holds(False, "something")
-    assert holds.holds(True, "something")
+        invariants.check_invariant(False, "something")
+    assert invariants.check_invariant(True, "something")
 
 
 class Lives(RuleBasedStateMachine):
     """Random days over many restarts: the wire checks the rules at every effect."""
 
     @initialize(
-        slots=st.integers(1, 6),
+        max_calls=st.integers(1, 6),
         held=st.sampled_from([None, 5]),
         most=st.sampled_from([60_000, 400_000]),
     )
-    def begin(self, slots, held, most):
+    def begin(self, max_calls, held, most):
         self.folder = tempfile.TemporaryDirectory()
         given = settings(
-            categories=[
+            callback_classes=[
                 category("rerunnable", ordered=True),
                 category("ticketed", ordered=True),
                 category("exclusive", abandon=8000),
             ],
             kinds=KINDS,
-            slots=slots,
-            max_held=held,
+            max_calls=max_calls,
+            max_pending=held,
             connection_idle=SECOND,
         )
         self.world = Wire(self.folder.name, given, HOSTS, most=most)
@@ -936,7 +975,7 @@
     @rule(
         pick=st.integers(0, 9),
         result=st.sampled_from(
-            [R.DELIVERED] * 3 + [R.ERROR, R.FULL, R.NO_CONNECT, R.RESET, R.NOT_SENT]
+            [R.DELIVERED] * 3 + [R.ERROR, R.REFUSED, R.NO_CONNECT, R.RESET, R.NOT_SENT]
         ),
         wait=st.sampled_from([0, 0, 700]),
         spent=st.booleans(),
@@ -944,7 +983,7 @@
     def answer(self, pick, result, wait, spent):
         number = sorted(self.world.out)[pick % len(self.world.out)]
         self.world.end(
-            number, result, wait * MS * (result is R.FULL), spent=spent and result is R.NOT_SENT
+            number, result, wait * MS * (result is R.REFUSED), spent=spent and result is R.NOT_SENT
         )
 
     @rule(span=st.sampled_from([1, 30, 400, 2500]))
@@ -972,13 +1011,16 @@
         self.world.effects_left = None
         self.world.kill()
 
-    @rule(host=st.sampled_from(["h1", "h2", "h3"]), condition=st.sampled_from(list(it.Condition)))
+    @rule(
+        host=st.sampled_from(["h1", "h2", "h3"]),
+        condition=st.sampled_from(list(interface.Condition)),
+    )
     def relist(self, host, condition):
         entry = self.world.hosts[host]
         self.world.hosts[host] = ev.Host(
             host, entry.address, entry.zone, entry.kind, entry.destination, condition, 1.0
         )
-        self.world.post(ev.Listed(it.Scope.UPDATE, [self.world.hosts[host]]))
+        self.world.post(ev.Listed(interface.ListScope.UPDATE, [self.world.hosts[host]]))
 
     def teardown(self):
         if not hasattr(self, "world"):
@@ -991,7 +1033,11 @@
         assert not set(world.owed) - set(
             world.ended
         ), "rule 1: taken on, and neither delivered nor ended"
-        assert not world.core.held and not world.core.module.state.held and not world.core.owed_keys
+        assert (
+            not world.core.held
+            and not world.core.module.state.callbacks_by_id
+            and not world.core.owed_keys
+        )
         assert (
             world.core.used == 0
             and world.core.open == 0
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -287,7 +287,7 @@
                 if meanwhile == "removed"
                 else [ev.Host("h1", core.hosts["h1"].address, 0, 0, 3, it.Condition.DRAINING, 1.0)]
             )
-            place.relay.engine.post(ev.Listed(it.Scope.WHOLE, hosts))
+            place.relay.engine.post(ev.Listed(it.ListScope.WHOLE, hosts))
 
     up = once(monkeypatch, Stream, "connect", happens, lambda stream: stream.kind == "host")
     held_out(place, PLAIN)
