--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -6,31 +6,31 @@
 
 import pytest
 
-from molehill import interface as it
+from molehill import interface
 from molehill.decisions.dispatcher import Dispatcher
 from molehill.decisions.endpoint import SLOW_START
 from tests.ledger import MS, SECOND, R, World, category, first_endpoint, settings
 
-LEARNT_BY_EARLIER_TEXT = Path(__file__).parent / "data" / "learnt_2026_12_03.json"
+LEARNED_STATE_OF_OLDER_VERSION = Path(__file__).parent / "data" / "learnt_2026_12_03.json"
 
 
-def feed(world, every, span, result=R.DELIVERED, took=50, **callback):
-    """A callback each `every` ms for `span` ms; launches are answered after `took` ms. Gives the launches."""
+def run_load(world, interval, span, result=R.DELIVERED, latency=50, **callback):
+    """A callback each `interval` ms for `span` ms; launches are answered after `latency` ms. Gives the launches."""
     before = len(world.sent)
-    for _ in range(span // every):
+    for _ in range(span // interval):
         world.take(**callback)
-        world.advance(min(took, every) * MS)
+        world.advance(min(latency, interval) * MS)
         for number in sorted(
-            n for n, (_, sent, _) in world.out.items() if sent + took * MS <= world.now
+            n for n, (_, sent, _) in world.out.items() if sent + latency * MS <= world.now
         ):
             if number in world.out:
                 world.answer(number, result)
-        world.advance(max(0, every - took) * MS)
+        world.advance(max(0, interval - latency) * MS)
     return world.sent[before:]
 
 
-def test_window_grows_on_good_answers_and_halves_with_a_pause_on_a_refusal():
-    world = World(settings(slots=100), hosts=((1, 0, 0, 1),))
+def test_window_grows_on_success_and_halves_on_refusal():
+    world = World(settings(max_calls=100), hosts=((1, 0, 0, 1),))
     for _ in range(40):
         world.take()
     assert len(world.out) == 2
@@ -38,27 +38,29 @@
         world.answer(min(world.out))
     # one more for each good answer until the first slowdown
     assert len(world.out) == 8
-    world.answer(min(world.out), R.FULL, 500 * MS)
+    world.answer(min(world.out), R.REFUSED, 500 * MS)
     sent = len(world.sent)
     world.advance(499 * MS)
     assert len(world.sent) == sent
     assert first_endpoint(world.relay).limiter.window == 4.0
 
 
-def test_a_latency_that_stays_over_twice_the_best_cuts_the_window_and_an_old_best_expires():
-    world = World(settings(slots=100, categories=[category(abandon=60000)]), hosts=((1, 0, 0, 1),))
-    feed(world, 100, 4000, took=50)
+def test_high_latency_decreases_window_until_baseline_expires():
+    world = World(
+        settings(max_calls=100, callback_classes=[category(abandon=60000)]), hosts=((1, 0, 0, 1),)
+    )
+    run_load(world, 100, 4000, latency=50)
     limiter = first_endpoint(world.relay).limiter
     grown = limiter.window
-    feed(world, 300, 6000, took=290)
+    run_load(world, 300, 6000, latency=290)
     cut = limiter.window
     assert cut < grown / 2
-    feed(world, 300, 15000, took=290)
+    run_load(world, 300, 15000, latency=290)
     assert limiter.window > cut + 2
 
 
-def test_slot_share_leaves_slots_for_other_destinations_while_one_hangs():
-    world = World(settings(slots=4), hosts=((1, 0, 0, 1), (2, 0, 0, 2)))
+def test_hanging_destination_leaves_calls_for_others():
+    world = World(settings(max_calls=4), hosts=((1, 0, 0, 1), (2, 0, 0, 2)))
     for _ in range(20):
         world.take()
     world.advance(300 * MS)
@@ -68,29 +70,31 @@
 
 
 @pytest.mark.parametrize(
-    "effect,result,again",
+    "effect,result,retry_allowed",
     [
         ("rerunnable", R.TIMEOUT, True),
         ("ticketed", R.ERROR, True),
         ("exclusive", R.NO_CONNECT, True),
-        ("exclusive", R.FULL, True),
+        ("exclusive", R.REFUSED, True),
         ("exclusive", R.ERROR, False),
         ("exclusive", R.RESET, False),
     ],
 )
-def test_a_repeat_only_where_the_category_allows(effect, result, again):
-    world = World(settings(categories=[category(effect, abandon=9000, window=9000)]))
+def test_retry_only_where_semantics_allow(effect, result, retry_allowed):
+    world = World(settings(callback_classes=[category(effect, abandon=9000, window=9000)]))
     number = world.take()
     world.answer(number, result)
     world.advance(100 * MS)
-    while again and not world.out and number in world.open:  # a refusal asks for a rest
+    while retry_allowed and not world.out and number in world.open:  # a refusal asks for a rest
         world.advance(100 * MS)
-    assert (number in world.out) == again and (number in world.open) == again
+    assert (number in world.out) == retry_allowed and (number in world.open) == retry_allowed
 
 
-def test_what_no_answer_can_reach_any_more_is_given_up_and_what_is_behind_it_served():
-    world = World(settings(slots=1, categories=[category(abandon=1600)]), hosts=((1, 0, 0, 1),))
-    feed(world, 100, 1000, took=60)
+def test_expired_callback_does_not_block_the_next():
+    world = World(
+        settings(max_calls=1, callback_classes=[category(abandon=1600)]), hosts=((1, 0, 0, 1),)
+    )
+    run_load(world, 100, 1000, latency=60)
     world.take()
     late, good = world.take(abandon=110 * MS), world.take(abandon=800 * MS)
     world.advance(60 * MS)
@@ -99,77 +103,81 @@
     assert late in world.final and list(world.out) == [good] and len(world.sent) == sent + 1
 
 
-def test_a_ticket_that_ran_out_ends_the_callback_at_once():
+def test_callback_ends_when_deduplication_window_closes():
     rows = [category("ticketed", window=1000, abandon=9000)]
-    world = World(settings(categories=rows), hosts=((1, 0, 0, 1),))
+    world = World(settings(callback_classes=rows), hosts=((1, 0, 0, 1),))
     number = world.take()
     world.advance(100 * MS)
-    world.step([world.news(it.Scope.WHOLE, [])])
+    world.step([world.news(interface.ListScope.WHOLE, [])])
     world.answer(number, R.ERROR)
     world.advance(950 * MS)
     assert number in world.final
 
 
-def test_a_callback_bound_to_a_zone_does_not_block_the_others():
+def test_zone_bound_callback_does_not_block_others():
     rows = [category("ticketed", window=4000, same_zone=True)]
     world = World(
-        settings(categories=rows, kinds=[it.Kind(True, 1)]), hosts=((1, 0, 0, 1), (2, 1, 0, 1))
+        settings(callback_classes=rows, kinds=[interface.HostKind(True, 1)]),
+        hosts=((1, 0, 0, 1), (2, 1, 0, 1)),
     )
     bound = world.take()
     zone_host = world.out[bound][0]
-    drains = it.HostEntry(zone_host, zone_host - 1, 0, 1, it.Condition.DRAINING, 1.0)
-    world.step([world.news(it.Scope.UPDATE, [drains])])
+    drains = interface.HostEntry(zone_host, zone_host - 1, 0, 1, interface.Condition.DRAINING, 1.0)
+    world.step([world.news(interface.ListScope.UPDATE, [drains])])
     world.answer(bound, R.ERROR)
     other = world.take()
     assert bound not in world.out and other in world.out
 
 
-def test_a_returning_host_is_fed_under_the_budget():
-    world = World(settings(slots=40, categories=[category(abandon=20000)]), hosts=((1, 0, 0, 1),))
-    feed(world, 100, 8000)
-    feed(world, 100, 6000, result=R.NO_CONNECT)
+def test_returning_host_gets_slow_start():
+    world = World(
+        settings(max_calls=40, callback_classes=[category(abandon=20000)]), hosts=((1, 0, 0, 1),)
+    )
+    run_load(world, 100, 8000)
+    run_load(world, 100, 6000, result=R.NO_CONNECT)
     assert any("closed" in note for note in world.notes)
     back = world.now
-    launches = [when for when, _ in feed(world, 100, 12000)]
-    for start in launches:
+    attempt_times = [when for when, _ in run_load(world, 100, 12000)]
+    for start in attempt_times:
         cold = min(1.0, 0.2 + 0.8 * max(0, start + 1500 * MS - back) / (10 * SECOND))
-        in_span = sum(1 for when in launches if start <= when < start + 1500 * MS)
+        in_span = sum(1 for when in attempt_times if start <= when < start + 1500 * MS)
         assert cold == 1.0 or in_span <= 2.0 * cold * 17 * 1.5 + 1  # it can do more than is asked
-    assert len(launches) > 60  # and it is fed again
+    assert len(attempt_times) > 60  # and it is fed again
 
 
-def drained(world, host):
+def drain_host(world, host):
     world.step(
         [
             world.news(
-                it.Scope.UPDATE, [it.HostEntry(*world.table[host], it.Condition.DRAINING, 1.0)]
+                interface.ListScope.UPDATE,
+                [interface.HostEntry(*world.table[host], interface.Condition.DRAINING, 1.0)],
             )
         ]
     )
 
 
 @pytest.mark.parametrize("together", [True, False])
-def test_a_host_that_returns_alone_bears_no_more_than_beside_the_other(together):
+def test_host_returning_alone_gets_only_its_share(together):
     """Danger: taken to bear all that its destination is asked for, one whose sibling drains is given twice what it can do."""
-    world = World(settings(slots=40, categories=[category(abandon=20000)]))
-    feed(world, 50, 8000)
-    feed(world, 50, 6000, result=R.NO_CONNECT)
+    world = World(settings(max_calls=40, callback_classes=[category(abandon=20000)]))
+    run_load(world, 50, 8000)
+    run_load(world, 50, 6000, result=R.NO_CONNECT)
     if not together:
-        drained(world, 2)
-    back, able = world.now, 1.7 * 20 / 2  # of each host: what is asked of both, with room
-    launches = [when for when, host in feed(world, 50, 8000) if host == 1]
-    assert len(launches) > 20
-    for start in launches:
+        drain_host(world, 2)
+    back, capacity = world.now, 1.7 * 20 / 2  # of each host: what is asked of both, with room
+    attempt_times = [when for when, host in run_load(world, 50, 8000) if host == 1]
+    assert len(attempt_times) > 20
+    for start in attempt_times:
         cold = 0.2 + 0.8 * min(1.0, max(0, start + 1500 * MS - back) / (10 * SECOND))
-        calls = 2.0 * cold * able * 1.5
+        calls = 2.0 * cold * capacity * 1.5
         assert (
-            sum(start <= when < start + 1500 * MS for when in launches)
+            sum(start <= when < start + 1500 * MS for when in attempt_times)
             <= calls + 3 * calls**0.5 + 3
         )
 
 
 @pytest.mark.parametrize(
-    "failures, pause, result, returns",
+    "failures, pause, result, is_outage",
     [
         (2, 2500, R.TIMEOUT, True),
         (2, 300, R.TIMEOUT, False),
@@ -177,10 +185,12 @@
         (2, 900, R.NO_CONNECT, False),  # scarce connections are no outage
     ],
 )
-def test_few_failures_over_a_long_time_are_an_outage_too(failures, pause, result, returns):
+def test_few_failures_over_long_span_are_an_outage(failures, pause, result, is_outage):
     """Danger: a relay with few slots sees two calls fail in five seconds, and feeds the host by the window alone as it returns."""
-    world = World(settings(slots=2, categories=[category(abandon=60000)]), hosts=((1, 0, 0, 1),))
-    feed(world, 100, 8000)
+    world = World(
+        settings(max_calls=2, callback_classes=[category(abandon=60000)]), hosts=((1, 0, 0, 1),)
+    )
+    run_load(world, 100, 8000)
     for _ in range(failures):
         world.take()
         while not world.out:
@@ -196,13 +206,15 @@
         world.advance(20 * MS)
         for number in list(world.out):
             world.answer(number)
-    able = 1.7 * 10
-    calls = 2.0 * 0.2 * able * 1.5
-    assert (len(world.sent) - sent <= calls + 3 * calls**0.5 + 3) == returns
+    capacity = 1.7 * 10
+    calls = 2.0 * 0.2 * capacity * 1.5
+    assert (len(world.sent) - sent <= calls + 3 * calls**0.5 + 3) == is_outage
 
 
-def test_what_waits_goes_when_the_rest_after_failures_is_over_though_nothing_new_comes():
-    world = World(settings(slots=40, categories=[category(abandon=60000)]), hosts=((1, 0, 0, 1),))
+def test_waiting_callback_is_sent_when_backoff_ends():
+    world = World(
+        settings(max_calls=40, callback_classes=[category(abandon=60000)]), hosts=((1, 0, 0, 1),)
+    )
     number = world.take()
     for _ in range(2):
         world.answer(number, R.NO_CONNECT)
@@ -213,10 +225,10 @@
     assert len(world.sent) > before
 
 
-def test_a_told_wait_is_heeded_for_every_host_of_the_destination():
-    world = World(settings(slots=40))
-    feed(world, 50, 4000)
-    world.answer(world.take(), R.FULL, 2 * SECOND)
+def test_retry_after_holds_for_whole_destination():
+    world = World(settings(max_calls=40))
+    run_load(world, 50, 4000)
+    world.answer(world.take(), R.REFUSED, 2 * SECOND)
     before = len(world.sent)
     for _ in range(5):
         world.take()
@@ -226,22 +238,24 @@
     assert len(world.sent) > before
 
 
-def test_relays_told_the_same_wait_do_not_return_in_the_same_moment():
-    firsts = []
+def test_relays_with_same_retry_after_return_apart():
+    first_calls_at = []
     for seed in range(8):
-        world = World(settings(relays=8), seed=seed)
-        world.answer(world.take(), R.FULL, 4 * SECOND)
+        world = World(settings(relay_count=8), seed=seed)
+        world.answer(world.take(), R.REFUSED, 4 * SECOND)
         before = len(world.sent)
         while len(world.sent) == before:
             world.take(abandon=8 * SECOND)
             world.advance(10 * MS)
-        firsts.append(world.now)
-    assert max(firsts) - min(firsts) > SECOND
+        first_calls_at.append(world.now)
+    assert max(first_calls_at) - min(first_calls_at) > SECOND
 
 
-def test_refusals_teach_a_pace_below_the_allowance():
-    world = World(settings(slots=40, categories=[category(abandon=60000)]), hosts=((1, 0, 0, 1),))
-    allowance, refused, served = [], 0, 0
+def test_refusals_teach_rate_below_limit():
+    world = World(
+        settings(max_calls=40, callback_classes=[category(abandon=60000)]), hosts=((1, 0, 0, 1),)
+    )
+    served_at, refused, served = [], 0, 0
     # thirty seconds at a destination that takes five a second
     for _ in range(1500):
         world.take()
@@ -249,23 +263,30 @@
         for number in sorted(
             n for n, (_, sent, _) in world.out.items() if sent + 20 * MS <= world.now
         ):
-            allowance = [t for t in allowance if t > world.now - SECOND]
-            if len(allowance) < 5:
-                allowance.append(world.now)
+            served_at = [t for t in served_at if t > world.now - SECOND]
+            if len(served_at) < 5:
+                served_at.append(world.now)
                 served += 1
                 world.answer(number)
             elif number in world.out:
                 refused += 1
-                world.answer(number, R.FULL)
+                world.answer(number, R.REFUSED)
     assert served > 100 and refused < served / 3
 
 
-class Allowance:
+class SharedLimit:
     """A told limit that many relays share: refused calls use it up too, and what is left is told late."""
 
-    def __init__(self, rate, depth, every):
-        self.rate, self.depth, self.every = rate, depth, every
-        self.left, self.at, self.shown, self.shown_at, self.served, self.refused = (
+    def __init__(self, rate, depth, update_interval):
+        self.rate, self.depth, self.update_interval = rate, depth, update_interval
+        (
+            self.remaining,
+            self.updated_at,
+            self.reported_share,
+            self.reported_at,
+            self.served,
+            self.refused,
+        ) = (
             depth,
             0,
             1.0,
@@ -275,32 +296,35 @@
         )
 
     def call(self, now):
-        self.left, self.at = min(self.depth, self.left + self.rate * (now - self.at) / SECOND), now
-        if now - self.shown_at >= self.every:
-            self.shown, self.shown_at = max(0.0, self.left / self.depth), now
-        good, self.left = self.left >= 1.0, self.left - 1.0
+        self.remaining, self.updated_at = (
+            min(self.depth, self.remaining + self.rate * (now - self.updated_at) / SECOND),
+            now,
+        )
+        if now - self.reported_at >= self.update_interval:
+            self.reported_share, self.reported_at = max(0.0, self.remaining / self.depth), now
+        good, self.remaining = self.remaining >= 1.0, self.remaining - 1.0
         self.served, self.refused = self.served + good, self.refused + (not good)
-        return R.DELIVERED if good else R.FULL, (self.rate, self.shown)
+        return R.DELIVERED if good else R.REFUSED, (self.rate, self.reported_share)
 
 
-@pytest.mark.parametrize("asked", [0.8, 1.3])
-def test_many_relays_at_one_told_limit_use_it_without_running_into_it(asked):
+@pytest.mark.parametrize("demand", [0.8, 1.3])
+def test_many_relays_share_advertised_limit_with_few_refusals(demand):
     relays, rate = 20, 20.0
     given = settings(
-        relays=relays,
-        slots=5,
-        max_held=90,
-        tells_limit=True,
-        categories=[category(goal=3000, abandon=12000)],
+        relay_count=relays,
+        max_calls=5,
+        max_pending=90,
+        limits_are_advertised=True,
+        callback_classes=[category(goal=3000, abandon=12000)],
     )
     worlds = [World(given, hosts=((1, 0, 0, 1),), seed=seed) for seed in range(relays)]
-    limit, chance = Allowance(rate, rate / 2, 500 * MS), Random(5)
-    for turn in range(1200):  # half a minute in steps of 25 ms
+    limit, random = SharedLimit(rate, rate / 2, 500 * MS), Random(5)
+    for step in range(1200):  # half a minute in steps of 25 ms
         for world in worlds:
-            if turn % 40 == 0 and chance.random() < 0.1:
+            if step % 40 == 0 and random.random() < 0.1:
                 for _ in range(4):  # some come in clumps
                     world.take()
-            if chance.random() < (asked - 0.4) * rate / relays / 40:
+            if random.random() < (demand - 0.4) * rate / relays / 40:
                 world.take()
             world.advance(25 * MS)
             for number in [
@@ -308,20 +332,22 @@
             ]:
                 result, told = limit.call(world.now)
                 world.answer(number, result, told=told)
-    came = sum(world.serial for world in worlds)
-    assert limit.served > 0.8 * min(came, 30 * rate) and limit.refused < 0.08 * limit.served
+    callback_count = sum(world.serial for world in worlds)
+    assert (
+        limit.served > 0.8 * min(callback_count, 30 * rate) and limit.refused < 0.08 * limit.served
+    )
 
 
-def test_a_call_that_is_not_full_waits_longer_at_a_told_limit_unless_much_of_it_is_left():
+def test_partly_filled_call_waits_at_advertised_limit():
     spans = []
     for waiting, size, left in ((10, 10, 0.5), (1, 1, 0.5), (1, 10, 0.5), (1, 10, 0.95)):
         world = World(
             settings(
-                relays=40,
-                slots=8,
-                tells_limit=True,
-                kinds=[it.Kind(False, size)],
-                categories=[category(abandon=12000)],
+                relay_count=40,
+                max_calls=8,
+                limits_are_advertised=True,
+                kinds=[interface.HostKind(False, size)],
+                callback_classes=[category(abandon=12000)],
             ),
             hosts=((1, 0, 0, 1),),
         )
@@ -338,13 +364,13 @@
     assert spans[3] < spans[1] / 2
 
 
-def test_a_refusal_that_tells_no_limit_rests_the_one_host_where_others_told_it():
-    world = World(settings(tells_limit=True), hosts=((1, 0, 0, 1), (2, 0, 0, 1)))
+def test_refusal_without_limit_pauses_only_that_host():
+    world = World(settings(limits_are_advertised=True), hosts=((1, 0, 0, 1), (2, 0, 0, 1)))
     world.answer(world.take(), told=(50.0, 0.9))
     number = world.take()
     world.advance(50 * MS)
     drains = world.out[number][0]
-    world.answer(number, R.FULL)  # before the list tells
+    world.answer(number, R.REFUSED)  # before the list tells
     world.advance(100 * MS)
     assert (
         world.out[number][0] != drains
@@ -353,38 +379,55 @@
 
 
 @pytest.mark.parametrize("wait", [0, 2 * SECOND])
-def test_a_host_that_is_new_on_the_list_ends_a_rest_but_no_told_wait(wait):
-    world = World(settings(tells_limit=True), hosts=((1, 0, 0, 1), (2, 0, 0, 1)))
-    world.step([world.news(it.Scope.WHOLE, [it.HostEntry(1, 0, 0, 1, it.Condition.UP, 1.0)])])
+def test_new_host_ends_backoff_but_not_retry_after(wait):
+    world = World(settings(limits_are_advertised=True), hosts=((1, 0, 0, 1), (2, 0, 0, 1)))
+    world.step(
+        [
+            world.news(
+                interface.ListScope.WHOLE,
+                [interface.HostEntry(1, 0, 0, 1, interface.Condition.UP, 1.0)],
+            )
+        ]
+    )
     number = world.take()
     for n in range(4):
         while number not in world.out:
             world.advance(10 * MS)
-        world.answer(number, R.FULL, wait if n == 3 else 0, told=(50.0, 0.0))
-    told_until = world.now + wait
-    assert world.relay.state.destinations[1].limiter.paused_until > told_until + 100 * MS
-    world.step([world.news(it.Scope.UPDATE, [it.HostEntry(2, 0, 0, 1, it.Condition.UP, 1.0)])])
-    assert world.relay.state.destinations[1].limiter.paused_until == told_until
+        world.answer(number, R.REFUSED, wait if n == 3 else 0, told=(50.0, 0.0))
+    retry_after_until = world.now + wait
+    assert world.relay.state.destinations[1].limiter.paused_until > retry_after_until + 100 * MS
+    world.step(
+        [
+            world.news(
+                interface.ListScope.UPDATE,
+                [interface.HostEntry(2, 0, 0, 1, interface.Condition.UP, 1.0)],
+            )
+        ]
+    )
+    assert world.relay.state.destinations[1].limiter.paused_until == retry_after_until
 
 
 @pytest.mark.parametrize(
-    "tells,told,paced", [(True, 0.0, False), (True, 30.0, True), (False, 0.0, True)]
+    "limits_advertised,advertised_rate,learns_rate",
+    [(True, 0.0, False), (True, 30.0, True), (False, 0.0, True)],
 )
-def test_a_refusal_teaches_no_pace_where_allowances_are_told_and_none_was(tells, told, paced):
-    world = World(settings(tells_limit=tells), hosts=((1, 0, 0, 1),))
-    feed(world, 100, 1000)
-    first_endpoint(world.relay).limiter.told_rate = told
+def test_refusal_teaches_no_rate_where_limits_are_advertised(
+    limits_advertised, advertised_rate, learns_rate
+):
+    world = World(settings(limits_are_advertised=limits_advertised), hosts=((1, 0, 0, 1),))
+    run_load(world, 100, 1000)
+    first_endpoint(world.relay).limiter.advertised_rate = advertised_rate
     world.take()
-    world.answer(next(iter(world.out)), R.FULL)  # as of a host that drains
-    assert bool(first_endpoint(world.relay).limiter.learnt_rate) == paced
+    world.answer(next(iter(world.out)), R.REFUSED)  # as of a host that drains
+    assert bool(first_endpoint(world.relay).limiter.learned_rate) == learns_rate
 
 
-def test_short_of_slots_the_quick_destination_goes_first():
+def test_fast_destination_goes_first_at_call_limit():
     hosts = [(d, 0, 0, d) for d in (1, 2, 3, 4)]
-    world = World(settings(slots=4, categories=[category(abandon=30000)]), hosts=hosts)
-    feed(world, 900, 4500, took=800, destination=1)
-    feed(world, 100, 1000, took=50, destination=2)
-    feed(world, 100, 1000, took=50, destination=3)
+    world = World(settings(max_calls=4, callback_classes=[category(abandon=30000)]), hosts=hosts)
+    run_load(world, 900, 4500, latency=800, destination=1)
+    run_load(world, 100, 1000, latency=50, destination=2)
+    run_load(world, 100, 1000, latency=50, destination=3)
     busy = [world.take(destination=d) for d in (3, 3, 3, 4)]
     slow, quick = world.take(destination=1), world.take(destination=2)
     assert set(world.out) == set(busy)
@@ -392,47 +435,47 @@
     assert quick in world.out and slow not in world.out
 
 
-def test_a_full_relay_gives_way_for_callbacks_of_healthy_destinations():
-    world = World(settings(max_held=40, slots=20), hosts=((1, 0, 0, 1), (2, 0, 0, 2)))
+def test_full_relay_makes_room_for_healthy_destinations():
+    world = World(settings(max_pending=40, max_calls=20), hosts=((1, 0, 0, 1), (2, 0, 0, 2)))
     for _ in range(60):
         world.take(destination=1)  # nothing answers there
     number = world.take(destination=2)
     assert len(world.open) <= 40 and number in world.out
 
 
-def test_time_outs_cut_by_the_abandon_time_are_not_held_against_the_host():
+def test_timeouts_cut_by_deadline_do_not_count_against_host():
     world = World(settings(), hosts=((1, 0, 0, 1),))
-    feed(world, 100, 2000)
+    run_load(world, 100, 2000)
     for _ in range(12):
         world.take(abandon=40 * MS)
         world.advance(60 * MS)
     assert not world.notes
 
 
-def test_a_list_call_that_fails_is_made_again_later():
+def test_failed_list_request_is_retried():
     world = World(settings(list_on_request=True))
     assert world.asked == 1
-    world.step([it.ListNews(it.Scope.FAILED, [])])
+    world.step([interface.HostListUpdate(interface.ListScope.FAILED, [])])
     assert world.asked == 1
     world.advance(3 * SECOND)
     assert world.asked == 2
 
 
-def test_hosts_that_come_and_go_leave_nothing_behind_and_one_that_is_back_soon_is_known():
+def test_gone_hosts_are_forgotten_unless_back_soon():
     world = World(
-        settings(categories=[category("exclusive", goal=90_000, abandon=100_000)]),
+        settings(callback_classes=[category("exclusive", goal=90_000, abandon=100_000)]),
         hosts=((0, 0, 0, 1),),
     )
     relay = world.relay
 
-    def tell(*rows):
+    def update_list(*rows):
         world.table.update({host: (host, 0, 0, destination) for host, destination, _ in rows})
         world.step(
             [
                 world.news(
-                    it.Scope.UPDATE,
+                    interface.ListScope.UPDATE,
                     [
-                        it.HostEntry(*world.table[host], condition, 1.0)
+                        interface.HostEntry(*world.table[host], condition, 1.0)
                         for host, _, condition in rows
                     ],
                 )
@@ -440,7 +483,10 @@
         )
 
     for number in range(1, 40):
-        tell((number - 1, max(1, number - 1), it.Condition.GONE), (number, number, it.Condition.UP))
+        update_list(
+            (number - 1, max(1, number - 1), interface.Condition.GONE),
+            (number, number, interface.Condition.UP),
+        )
         world.take(destination=number)
         world.answer(next(iter(world.out)))
         world.advance(4 * SECOND)
@@ -448,7 +494,7 @@
         len(relay.state.endpoints) <= 12 and len(relay.state.destinations) <= 12
     ), "half a minute's worth"
     world.take(destination=39)
-    tell((39, 39, it.Condition.GONE))
+    update_list((39, 39, interface.Condition.GONE))
     world.advance(31 * SECOND)
     assert 39 in relay.state.endpoints, "a call is out there"
     world.answer(next(iter(world.out)))
@@ -456,41 +502,43 @@
     assert (
         not relay.state.endpoints
         and not relay.state.destinations
-        and not relay.state.held
-        and not relay.lifecycle.keys
+        and not relay.state.callbacks_by_id
+        and not relay.lifecycle.callbacks_by_key
     )
-    tell((50, 7, it.Condition.UP))
+    update_list((50, 7, interface.Condition.UP))
     relay.state.endpoints[50].state = "closed"
-    tell((50, 7, it.Condition.GONE))
+    update_list((50, 7, interface.Condition.GONE))
     world.advance(10 * SECOND)
-    tell((50, 7, it.Condition.UP))
+    update_list((50, 7, interface.Condition.UP))
     assert relay.state.endpoints[50].state == "closed" and len(relay.state.endpoints) == 1
 
 
-def test_a_destination_that_no_list_ever_named_is_denied_at_once_and_leaves_no_row():
+def test_unlisted_destination_is_rejected_and_not_kept():
     world = World(settings())
     number = world.take(destination=77)
     assert (
         number in world.final
         and not world.sent
         and 77 not in world.relay.state.destinations
-        and not world.relay.state.held
+        and not world.relay.state.callbacks_by_id
     )
 
 
-def test_callbacks_fill_a_call_of_a_kind_that_takes_several():
-    world = World(settings(kinds=[it.Kind(False, 5)], slots=4), hosts=((1, 0, 0, 1),))
+def test_call_takes_several_callbacks():
+    world = World(
+        settings(kinds=[interface.HostKind(False, 5)], max_calls=4), hosts=((1, 0, 0, 1),)
+    )
     for _ in range(12):
         world.take()
     world.answer(min(world.out))
     assert (
         len(world.out) == 10
-        and world.relay.state.calls_out == 2
-        and world.relay.state.destinations[1].waiting == 1
+        and world.relay.state.calls_in_flight == 2
+        and world.relay.state.destinations[1].waiting_count == 1
     )
 
 
-def test_idle_connections_are_given_back_once_one_was_turned_away_for_some_calls_only():
+def test_failed_connect_closes_idle_connections_for_some_calls():
     world = World(settings(), hosts=((1, 0, 0, 1), (2, 0, 0, 2)))
     world.answer(world.take())
     assert not world.closed
@@ -502,12 +550,12 @@
 
 
 @pytest.mark.parametrize("kept", [True, False])
-def test_a_reset_of_a_kept_connection_is_not_held_against_the_host(kept):
+def test_reset_of_idle_connection_does_not_count_against_host(kept):
     world = World(
-        settings(connection_idle=10 * SECOND, categories=[category(abandon=60000)]),
+        settings(connection_idle=10 * SECOND, callback_classes=[category(abandon=60000)]),
         hosts=((1, 0, 0, 1),),
     )
-    feed(world, 100, 2000)
+    run_load(world, 100, 2000)
     limiter = first_endpoint(world.relay).limiter
     before = limiter.window
     first_endpoint(world.relay).idle_since = world.now - 50 * MS if kept else -60 * SECOND
@@ -521,27 +569,29 @@
 
 
 @pytest.mark.parametrize(
-    "result,wait", [(R.FULL, 0), (R.FULL, 700), (R.TIMEOUT, 0), (R.NO_CONNECT, 0)]
+    "result,wait", [(R.REFUSED, 0), (R.REFUSED, 700), (R.TIMEOUT, 0), (R.NO_CONNECT, 0)]
 )
-def test_many_relays_with_one_callback_each_do_not_return_together(result, wait):
-    again = []  # thirty relays, the same trouble at the same moment
+def test_relays_with_one_callback_each_return_apart(result, wait):
+    attempt_times = []  # thirty relays, the same trouble at the same moment
     for seed in range(30):
         world = World(
-            settings(relays=30, categories=[category(abandon=20000)]), ((1, 0, 0, 1),), seed
+            settings(relay_count=30, callback_classes=[category(abandon=20000)]),
+            ((1, 0, 0, 1),),
+            seed,
         )
         number, start = world.take(), world.now
         while number in world.open and world.now < start + 18 * SECOND:
             if number in world.out:
                 world.answer(number, result, wait * MS)
             world.advance(50 * MS)
-        again += [when - start for when, _ in world.sent]
+        attempt_times += [when - start for when, _ in world.sent]
     for at in (4, 6, 8, 10, 12):  # seconds; all thirty came every two seconds
-        assert sum(at * SECOND <= when < (at + 2) * SECOND for when in again) <= 20
+        assert sum(at * SECOND <= when < (at + 2) * SECOND for when in attempt_times) <= 20
 
 
-def test_idle_connections_that_lose_calls_are_closed_before_the_next_use():
+def test_idle_connections_that_lose_calls_are_closed():
     hosts = [(d, 0, 0, d) for d in range(1, 13)]
-    world = World(settings(connection_idle=10 * SECOND, slots=20), hosts)
+    world = World(settings(connection_idle=10 * SECOND, max_calls=20), hosts)
     lost = 0
     for _ in range(3):
         for destination in range(1, 13):
@@ -558,23 +608,37 @@
     assert 3 <= lost <= 6 and not any("closed" in note for note in world.notes)
 
 
-def test_what_can_lose_no_more_by_waiting_goes_after_what_can():
+def test_callback_at_value_floor_goes_last():
     rows = [category(goal=1000, abandon=20000)]
-    world = World(settings(categories=rows, halving=True, slots=1), hosts=((1, 0, 0, 1),))
+    world = World(
+        settings(callback_classes=rows, value_halves=True, max_calls=1), hosts=((1, 0, 0, 1),)
+    )
     world.step(
-        [world.news(it.Scope.UPDATE, [it.HostEntry(1, 0, 0, 1, it.Condition.DRAINING, 1.0)])]
+        [
+            world.news(
+                interface.ListScope.UPDATE,
+                [interface.HostEntry(1, 0, 0, 1, interface.Condition.DRAINING, 1.0)],
+            )
+        ]
     )
     for _ in range(2):
         world.take()
     world.advance(2100 * MS)  # the goal time, and the time to half the payoff
     fresh = world.take()
-    world.step([world.news(it.Scope.UPDATE, [it.HostEntry(1, 0, 0, 1, it.Condition.UP, 1.0)])])
+    world.step(
+        [
+            world.news(
+                interface.ListScope.UPDATE,
+                [interface.HostEntry(1, 0, 0, 1, interface.Condition.UP, 1.0)],
+            )
+        ]
+    )
     assert set(world.out) == {fresh}
 
 
-def test_failed_connects_at_one_host_after_the_other_rest_the_whole_destination():
+def test_failed_connects_at_several_hosts_pause_destination():
     hosts = [(h, 0, 0, 1) for h in (1, 2, 3)]
-    world = World(settings(relays=30, categories=[category(abandon=20000)]), hosts)
+    world = World(settings(relay_count=30, callback_classes=[category(abandon=20000)]), hosts)
     number = world.take()
     world.answer(number, R.NO_CONNECT)
     world.answer(number, R.NO_CONNECT)
@@ -583,9 +647,10 @@
     assert len(world.sent) == 2 and len({h for _, h in world.sent}) <= 2 and len(world.open) == 2
 
 
-def test_a_kind_that_takes_few_connections_costs_the_others_none():
+def test_scarce_connections_of_one_kind_spare_others():
     world = World(
-        settings(kinds=[it.Kind(False, 1), it.Kind(False, 1)]), hosts=((1, 0, 0, 1), (2, 0, 1, 2))
+        settings(kinds=[interface.HostKind(False, 1), interface.HostKind(False, 1)]),
+        hosts=((1, 0, 0, 1), (2, 0, 1, 2)),
     )
     number = world.take(destination=2)
     world.answer(number, R.NO_CONNECT)
@@ -597,63 +662,71 @@
     assert world.closed == [2, 2]
 
 
-def test_exclusive_ones_at_a_host_that_hangs_give_their_slots_back_but_not_before_their_goal_time():
+def test_at_most_once_call_times_out_after_target_latency():
     """Danger: held to the end, those out at hosts that hang take all slots from the others."""
     world = World(
-        settings(categories=[category("exclusive", goal=2000, abandon=20_000)]),
+        settings(callback_classes=[category("exclusive", goal=2000, abandon=20_000)]),
         hosts=((1, 0, 0, 1),),
     )
-    feed(world, 20, 20)
+    run_load(world, 20, 20)
     number = world.take()
     world.advance(1900 * MS)
     assert number in world.out
     world.advance(200 * MS)
-    assert number in world.final and not world.relay.state.calls_out
+    assert number in world.final and not world.relay.state.calls_in_flight
 
 
-def test_where_refusals_use_a_told_limit_up_tries_grow_seldom_till_one_is_taken():
+def test_retries_slow_down_while_refusals_exhaust_limit():
     """Danger: where an even part is a call in a quarter of a minute, tries each few seconds leave nothing for anyone."""
     world = World(
         settings(
-            tells_limit=True,
-            relays=200,
-            ramp_time=SECOND,
-            max_launches=12,
-            categories=[category(abandon=400_000)],
+            limits_are_advertised=True,
+            relay_count=200,
+            slow_start_time=SECOND,
+            max_attempts=12,
+            callback_classes=[category(abandon=400_000)],
         ),
         hosts=((1, 0, 0, 1),),
     )
-    number, at = world.take(), []
+    number, attempt_times = world.take(), []
     for _ in range(6000):
         if number in world.out:
-            at.append(world.now)
-            world.answer(number, R.FULL, told=(14.0, 0.0))
+            attempt_times.append(world.now)
+            world.answer(number, R.REFUSED, told=(14.0, 0.0))
         world.advance(50 * MS)
-    gaps = [b - a for a, b in zip(at, at[1:])]
+    gaps = [b - a for a, b in zip(attempt_times, attempt_times[1:])]
     assert len(gaps) > 4 and gaps[0] < 4 * SECOND and gaps[4] > 3 * gaps[0]
 
 
-def test_what_looks_too_late_in_one_moment_and_not_in_the_next_still_ends_with_its_time():
+def test_callback_judged_late_once_still_ends_at_deadline():
     """Danger: looked at once as it came, and never again while it waits for its turn, it was ended by the core's guard alone."""
-    world = World(settings(slots=100, categories=[category(ordered=True)]), hosts=((1, 0, 0, 1),))
+    world = World(
+        settings(max_calls=100, callback_classes=[category(ordered=True)]), hosts=((1, 0, 0, 1),)
+    )
     world.take(key="a")
     other = world.take(key="c")
     limiter = first_endpoint(world.relay).limiter
-    limiter.latency = limiter.best = 200 * MS
+    limiter.latency = limiter.baseline_latency = 200 * MS
     world.advance(5 * MS)
     late, due = 99, world.now + 185 * MS
-    world.open[late] = dict(row=world.set.categories[0], key="a", due=due, launches=[])
+    world.open[late] = dict(row=world.set.callback_classes[0], key="a", due=due, launches=[])
     # in one batch: too late by the latency known so far, then an answer that comes sooner
-    world.step([it.NewCallback(late, 0, 0, "a", due, 1), world.outcome(other, R.DELIVERED)])
+    world.step([interface.NewCallback(late, 0, 0, "a", due, 1), world.outcome(other, R.DELIVERED)])
     assert late in world.open
     world.advance(190 * MS)
     assert late in world.final
 
 
-def test_what_an_earlier_text_had_measured_is_taken_over_whole():
-    rows = json.loads(LEARNT_BY_EARLIER_TEXT.read_text(encoding="utf-8"))
-    module = Dispatcher(settings(kinds=[it.Kind(True, 1)]), 1)
-    entry = it.HostEntry("h1", 0, 0, 3, it.Condition.UP, 0.0)
-    module.step(3 * SECOND, [it.ListNews(it.Scope.WHOLE, [entry]), it.Learnt(rows)])
-    assert module.learnt() == rows
+def test_learned_state_of_older_version_is_restored():
+    rows = json.loads(LEARNED_STATE_OF_OLDER_VERSION.read_text(encoding="utf-8"))
+    module = Dispatcher(settings(kinds=[interface.HostKind(True, 1)]), 1)
+    entry = interface.HostEntry("h1", 0, 0, 3, interface.Condition.UP, 0.0)
+    module.step(
+        3 * SECOND,
+        [
+            interface.HostListUpdate(interface.ListScope.WHOLE, [entry]),
+            interface.LearnedState(rows),
+        ],
+    )
+    assert module.learned_state() == rows
     assert first_endpoint(module).state is SLOW_START
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -10,8 +10,7 @@
 
 import pytest
 
-from molehill import interface as it
-from molehill import log_clock
+from molehill import interface, log_clock
 from molehill.config import ConfigError
 from molehill.core import events as ev
 from molehill.log_clock import Base
@@ -308,7 +307,7 @@
 def denied(core, ident):
     """The effects of an end that turns a callback away, of which the module knows."""
     core.effects = []
-    core.inbox.append(it.Withdrawn(ident))
+    core.inbox.append(interface.CallbackWithdrawn(ident))
     core._end_callback(core.held[ident], True, 0)
     return core.effects
 
--- a/tests/test_host_list.py
+++ b/tests/test_host_list.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from molehill import interface as it
+from molehill import interface
 from molehill.core import events as ev
 from molehill.core.host_list import HostRow, ToldList, restored
 from tests.ledger import SECOND
@@ -15,7 +15,7 @@
     return HostRow(name, "10.1.0.18:8081", "a", "m", 3, status, 1.0)
 
 
-def host(name, condition=it.Condition.UP):
+def host(name, condition=interface.Condition.UP):
     return ev.Host(name, ("10.1.0.18", 8081), 0, 0, 1, condition, 1.0, "a", "m")
 
 
@@ -84,15 +84,15 @@
 
 def test_what_is_told_is_logged_first_only_as_it_changes_and_read_again_the_same():
     core, now = bare_core(), 1001 * SECOND
-    whole = ev.Listed(it.Scope.WHOLE, [host("h1"), host("h2"), host("h3")], 7, HERE)
+    whole = ev.Listed(interface.ListScope.WHOLE, [host("h1"), host("h2"), host("h3")], 7, HERE)
     first, *_ = effects_of(core, now, whole)
     assert first.record["k"] == "list" and len(first.record["rows"]) >= 3
-    drained = [host("h2", it.Condition.DRAINING), host("h3", it.Condition.GONE)]
-    second, *_ = effects_of(core, now, ev.Listed(it.Scope.UPDATE, drained, 8, HERE))
+    drained = [host("h2", interface.Condition.DRAINING), host("h3", interface.Condition.GONE)]
+    second, *_ = effects_of(core, now, ev.Listed(interface.ListScope.UPDATE, drained, 8, HERE))
     assert [one.status for one in second.record["rows"]] == ["leaving", "left"]
-    again = effects_of(core, now, ev.Listed(it.Scope.UPDATE, drained, 9, HERE))
+    again = effects_of(core, now, ev.Listed(interface.ListScope.UPDATE, drained, 9, HERE))
     assert not [effect for effect in again if type(effect) is ev.Append]
-    gone = effects_of(core, now, ev.Listed(it.Scope.WHOLE, [host("h1")], 10, HERE))
+    gone = effects_of(core, now, ev.Listed(interface.ListScope.WHOLE, [host("h1")], 10, HERE))
     assert [one[:1] + (one.status,) for one in gone[0].record["rows"]] == [("h2", "left")]
     next_core = bare_core()
     next_core.told = ToldList()
@@ -105,7 +105,7 @@
 def test_a_list_of_the_largest_size_takes_its_room_from_what_may_be_held():
     core, now = bare_core(), 1001 * SECOND
     hosts = [host(f"s-{n:08x}") for n in range(3200)]
-    record = effects_of(core, now, ev.Listed(it.Scope.WHOLE, hosts, 7, HERE))[0].record
+    record = effects_of(core, now, ev.Listed(interface.ListScope.WHOLE, hosts, 7, HERE))[0].record
     assert len(record["rows"]) == 3200 and core.told.room <= 3200 * 100
     core.log_room = core.told.room + 100
     effects = effects_of(
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from molehill import interface as it
+from molehill import interface
 from molehill.core import events as ev
 from molehill.core.figures import Figures
 from molehill.core.permission import Refusal
@@ -49,7 +49,7 @@
 def test_a_task_that_fails_ends_alone_and_returns_to_the_loop(monkeypatch):
     net, done = Net(), []
     monkeypatch.setattr(
-        "molehill.runtime.scheduler.holds",
+        "molehill.runtime.scheduler.check_invariant",
         lambda condition, name, **facts: done.append(name) if not condition else True,
     )
 
@@ -68,7 +68,7 @@
 def test_a_fault_of_the_loop_itself_does_not_end_it(monkeypatch):
     net, broken = Net(), []
     monkeypatch.setattr(
-        "molehill.runtime.scheduler.holds",
+        "molehill.runtime.scheduler.check_invariant",
         lambda condition, name, **facts: broken.append(name) if not condition else True,
     )
 
@@ -84,7 +84,7 @@
 def test_work_that_has_to_go_on_is_begun_anew(monkeypatch):
     net, tries, broken = Net(), [], []
     monkeypatch.setattr(
-        "molehill.runtime.scheduler.holds",
+        "molehill.runtime.scheduler.check_invariant",
         lambda condition, name, **facts: broken.append(name) if not condition else True,
     )
 
@@ -655,13 +655,13 @@
     [
         (answered(200, b"Srv-Load: x0=0.4,x1=25"), (R.DELIVERED, 0, True, False, 25.0, 0.4)),
         (answered(500), (R.ERROR, 0, False, False, 0.0)),
-        (answered(429, b"Retry-After: 1.25"), (R.FULL, 1250 * MS, False, False, 0.0)),
-        (answered(503, b"Retry-After: 2"), (R.FULL, 2 * SECOND, False, False, 0.0)),
-        (answered(503, b"Retry-After: soon"), (R.FULL, 0, False, False, 0.0)),
+        (answered(429, b"Retry-After: 1.25"), (R.REFUSED, 1250 * MS, False, False, 0.0)),
+        (answered(503, b"Retry-After: 2"), (R.REFUSED, 2 * SECOND, False, False, 0.0)),
+        (answered(503, b"Retry-After: soon"), (R.REFUSED, 0, False, False, 0.0)),
         (answered(503, b"X-Line-Busy: 1"), (R.NOT_SENT, 0, False, False, 0.0)),
         (answered(504), (R.NOT_SENT, 0, False, True, 0.0)),
         (answered(410), (R.NOT_SENT, 0, True, False, 0.0)),
-        (answered(413), (R.FULL, 0, False, False, 0.0)),
+        (answered(413), (R.REFUSED, 0, False, False, 0.0)),
         (answered(302), (R.ERROR, 0, False, False, 0.0)),
         (b"HTTP/1.1 100 Continue\r\n\r\n" + answered(200), (R.DELIVERED, 0, True, False, 0.0)),
         (
@@ -970,7 +970,7 @@
     assert [(e.id, e.result, e.wait, e.closed, e.spent) for e in event.ends] == [
         ("a", R.DELIVERED, 0, True, False),
         ("b", R.ERROR, 0, False, False),
-        ("c", R.FULL, 500 * MS, False, False),
+        ("c", R.REFUSED, 500 * MS, False, False),
         ("d", R.NOT_SENT, 0, True, False),
         ("e", R.NOT_SENT, 0, False, True),
         ("f", R.RESET, 0, False, False),
@@ -982,8 +982,8 @@
     calls = Calls(monkeypatch)
     for headers, result in (
         (b"Connection: close", R.NO_CONNECT),
-        (b"X: y", R.FULL),
-        (b"Connection: close", R.FULL),
+        (b"X: y", R.REFUSED),
+        (b"Connection: close", R.REFUSED),
     ):
         # the third goes on the second's connection, which has been let in
         calls.call()
@@ -994,8 +994,8 @@
 @pytest.mark.parametrize(
     "sent,result",
     [
-        (answered(429, b"Retry-After: 1"), R.FULL),
-        (answered(413), R.FULL),
+        (answered(429, b"Retry-After: 1"), R.REFUSED),
+        (answered(413), R.REFUSED),
         (answered(500), R.ERROR),
         (answered(200, body=b"a delivered\r\n")[:-4], R.RESET),
     ],
@@ -1071,9 +1071,9 @@
 
 def test_the_list_starts_as_known_and_each_watch_follows_the_last_at_once(monkeypatch):
     watch = Watch(monkeypatch, {"index": 41, "snapshot": True, "endpoints": [entry()]})
-    assert watch.net.events[0].scope is it.Scope.RESTORED
+    assert watch.net.events[0].scope is interface.ListScope.RESTORED
     assert watch.net.events[0].hosts == [
-        ev.Host("h1", ("10.1.0.18", 8081), 0, 0, 3, it.Condition.UP, 1.0, "a", "m")
+        ev.Host("h1", ("10.1.0.18", 8081), 0, 0, 3, interface.Condition.UP, 1.0, "a", "m")
     ]
     # the first asks for what there is now; the others wait for news
     assert watch.watch().startswith(b"GET /registry/instances?from=41&hold_ms=1 HTTP/1.1\r\n")
@@ -1084,10 +1084,13 @@
         and len(watch.made) == 1
     )
     event = watch.net.events[1]
-    assert event.scope is it.Scope.UPDATE
-    assert [h.condition for h in event.hosts] == [it.Condition.DRAINING, it.Condition.GONE]
+    assert event.scope is interface.ListScope.UPDATE
+    assert [h.condition for h in event.hosts] == [
+        interface.Condition.DRAINING,
+        interface.Condition.GONE,
+    ]
     watch.tell(44, entry(), whole=True)
-    assert watch.net.events[2].scope is it.Scope.WHOLE
+    assert watch.net.events[2].scope is interface.ListScope.WHOLE
 
 
 @pytest.mark.parametrize("indent", [None, 4])
@@ -1130,7 +1133,9 @@
 
 def test_an_entry_that_can_t_be_read_does_not_take_the_others_with_it(monkeypatch):
     odd = []
-    monkeypatch.setattr(discovery, "holds", lambda condition, name, **facts: odd.append(name))
+    monkeypatch.setattr(
+        discovery, "check_invariant", lambda condition, name, **facts: odd.append(name)
+    )
     watch = Watch(monkeypatch)
     watch.watch()
     watch.tell(
@@ -1141,7 +1146,12 @@
         entry("h2", status="odd", type="new", zone="z"),
     )
     (host,) = watch.net.events[-1].hosts
-    assert (host.id, host.condition, host.kind, host.zone) == ("h2", it.Condition.DRAINING, 1, 1)
+    assert (host.id, host.condition, host.kind, host.zone) == (
+        "h2",
+        interface.Condition.DRAINING,
+        1,
+        1,
+    )
     assert len(odd) == 3
 
 
@@ -1160,7 +1170,10 @@
     watch.watch()
     watch.made[0].send(reply)
     watch.net.settle()
-    assert [e.scope for e in watch.net.events] == [it.Scope.RESTORED, it.Scope.FAILED]
+    assert [e.scope for e in watch.net.events] == [
+        interface.ListScope.RESTORED,
+        interface.ListScope.FAILED,
+    ]
     assert watch.watch() and len(watch.made) == 2 and watch.net.budget.total() == 1
 
 
@@ -1182,10 +1195,10 @@
             b"GET /registry/instances?from=0&hold_ms=10000 "
         )
     scopes = [event.scope for event in watch.net.events]
-    assert it.Scope.FAILED not in scopes, "no failure that the module would rest after"
+    assert interface.ListScope.FAILED not in scopes, "no failure that the module would rest after"
     watch.refusals += [hosts.Late()] * 2  # the next two never come up
     watch.net.advance(11_600 * MS)
-    assert watch.net.events[-1].scope is it.Scope.FAILED
+    assert watch.net.events[-1].scope is interface.ListScope.FAILED
 
 
 def test_a_whole_list_that_falls_silent_is_asked_for_again_before_it_counts_as_told(monkeypatch):
--- a/tests/test_permission.py
+++ b/tests/test_permission.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from molehill import interface as it
+from molehill import interface
 from molehill.core import events as ev
 from molehill.core import permission
 from molehill.core.callback import PendingCall
@@ -14,18 +14,18 @@
 
 NOW = 100 * SECOND
 WAYS = {
-    it.Effect.IDEMPOTENT: None,
-    it.Effect.DEDUPLICATED: Refusal.WINDOW_OVER,
-    it.Effect.AT_MOST_ONCE: Refusal.MAY_HAVE_RUN,
+    interface.DeliverySemantics.IDEMPOTENT: None,
+    interface.DeliverySemantics.DEDUPLICATED: Refusal.WINDOW_OVER,
+    interface.DeliverySemantics.AT_MOST_ONCE: Refusal.MAY_HAVE_RUN,
 }
 
 
-@pytest.mark.parametrize("effect", it.Effect)
+@pytest.mark.parametrize("effect", interface.DeliverySemantics)
 @pytest.mark.parametrize("ran_ago", [None, 2, 3])
 def test_what_may_have_run_goes_again_by_its_effect_and_window(effect, ran_ago):
     callback = SimpleNamespace(ran_at=None if ran_ago is None else NOW - ran_ago * SECOND)
     refusal = permission.of_repeat(callback, category(effect.value, window=3000), NOW)
-    within = effect is it.Effect.DEDUPLICATED and ran_ago == 2
+    within = effect is interface.DeliverySemantics.DEDUPLICATED and ran_ago == 2
     assert refusal is (None if ran_ago is None or within else WAYS[effect])
 
 
@@ -95,7 +95,7 @@
     callback, now = core.held["id1"], place.clock.now
     if ended:
         core._end_callback(callback, False, 0)
-    over = ev.End("id1", it.Result.NOT_SENT, closed=True, why=Refusal.HOST_SAYS_OVER)
+    over = ev.End("id1", interface.Result.NOT_SENT, closed=True, why=Refusal.HOST_SAYS_OVER)
     event = ev.Ended(callback.call, SECOND, [over])
     if ended:
         with pytest.raises(AssertionError, match="may_be_sent.*had ended it"):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,73 +4,91 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 
-from molehill import interface as it
+from molehill import interface
 from tests.ledger import MS, SECOND, R, World, category, settings
 
-CATEGORIES = [
+CALLBACK_CLASSES = [
     category("rerunnable"),
     category("ticketed", window=1500, ordered=True),
     category("exclusive", abandon=8000),
     category("ticketed", window=2500, same_zone=True, payoff=3.0),
 ]
 HOSTS = ((1, 0, 0, 1), (2, 1, 0, 1), (3, 0, 1, 2), (4, 1, 1, 2), (5, 0, 2, 3))
-ANSWERS = [R.DELIVERED] * 4 + [R.ERROR, R.FULL, R.NO_CONNECT, R.RESET, R.CANCELLED, R.NOT_SENT]
+ANSWERS = [R.DELIVERED] * 4 + [R.ERROR, R.REFUSED, R.NO_CONNECT, R.RESET, R.CANCELLED, R.NOT_SENT]
 
 
-class Days(RuleBasedStateMachine):
+class RandomEvents(RuleBasedStateMachine):
     @initialize(
         seed=st.integers(0, 2**40),
-        slots=st.integers(1, 9),
-        relays=st.integers(1, 4),
-        held=st.sampled_from([None, 6, 60]),
-        rates=st.booleans(),
-        halving=st.booleans(),
-        bare=st.booleans(),
+        max_calls=st.integers(1, 9),
+        relay_count=st.integers(1, 4),
+        max_pending=st.sampled_from([None, 6, 60]),
+        weights_are_rates=st.booleans(),
+        value_halves=st.booleans(),
+        without_guarantees=st.booleans(),
     )
-    def begin(self, seed, slots, relays, held, rates, halving, bare):
+    def begin(
+        self,
+        seed,
+        max_calls,
+        relay_count,
+        max_pending,
+        weights_are_rates,
+        value_halves,
+        without_guarantees,
+    ):
         given = dict(
-            categories=CATEGORIES,
-            kinds=[it.Kind(False, 1), it.Kind(True, 1), it.Kind(False, 4)],
-            slots=slots,
+            callback_classes=CALLBACK_CLASSES,
+            kinds=[
+                interface.HostKind(False, 1),
+                interface.HostKind(True, 1),
+                interface.HostKind(False, 4),
+            ],
+            max_calls=max_calls,
             connection_idle=SECOND,
-            relays=relays,
-            max_held=held,
-            units_are_rates=rates,
-            halving=halving,
+            relay_count=relay_count,
+            max_pending=max_pending,
+            weights_are_rates=weights_are_rates,
+            value_halves=value_halves,
             zone_fees=[0.1, 0.0],
-            over_share_payoff=0.1,
-            tenants=[it.Tenant(0.5, 4.0), it.Tenant(0.5, None)],
+            over_quota_value_factor=0.1,
+            tenants=[interface.Tenant(0.5, 4.0), interface.Tenant(0.5, None)],
         )
-        if bare:
-            given.update(fall_span=None, fall_multiple=None, cold_from=None, ramp_time=None)
+        if without_guarantees:
+            given.update(
+                overload_span=None,
+                overload_multiple=None,
+                cold_capacity_share=None,
+                slow_start_time=None,
+            )
         self.world = World(settings(**given), HOSTS, seed)
 
     @rule(
-        cat=st.integers(0, 3),
-        dest=st.integers(1, 4),
+        class_index=st.integers(0, 3),
+        destination=st.integers(1, 4),
         key=st.sampled_from([None, "a", "b"]),
         tenant=st.integers(0, 1),
         count=st.integers(1, 6),
     )
-    def take(self, cat, dest, key, tenant, count):
+    def take(self, class_index, destination, key, tenant, count):
         for _ in range(count):
-            self.world.take(cat, dest, key, tenant)
+            self.world.take(class_index, destination, key, tenant)
 
-    @rule(cat=st.integers(0, 3), abandon=st.integers(-5, 400))
-    def take_late(self, cat, abandon):
-        number = self.world.take(cat, key="a", abandon=abandon * MS)
+    @rule(class_index=st.integers(0, 3), abandon=st.integers(-5, 400))
+    def take_late(self, class_index, abandon):
+        number = self.world.take(class_index, key="a", abandon=abandon * MS)
         assert abandon > 0 or number in self.world.final
 
     @precondition(lambda self: self.world.out)
     @rule(
-        pick=st.integers(0, 50),
+        index=st.integers(0, 50),
         result=st.sampled_from(ANSWERS),
         wait=st.sampled_from([0, 300, 4000]),
-        every=st.booleans(),
+        answer_all=st.booleans(),
     )
-    def answer(self, pick, result, wait, every):
+    def answer(self, index, result, wait, answer_all):
         out = sorted(self.world.out)
-        for number in out if every else [out[pick % len(out)]]:
+        for number in out if answer_all else [out[index % len(out)]]:
             if number in self.world.out:
                 self.world.answer(number, result, wait * MS)
 
@@ -80,43 +98,55 @@
 
     @rule(
         host=st.sampled_from(HOSTS),
-        condition=st.sampled_from(list(it.Condition)),
+        condition=st.sampled_from(list(interface.Condition)),
         whole=st.booleans(),
     )
-    def relist(self, host, condition, whole):
-        entries = [it.HostEntry(*host, condition, 2.0)]
-        if whole and condition is not it.Condition.UP:
-            entries = [it.HostEntry(*h, it.Condition.UP, 2.0) for h in HOSTS if h != host]
-        scope = it.Scope.WHOLE if whole else it.Scope.UPDATE
+    def update_host_list(self, host, condition, whole):
+        entries = [interface.HostEntry(*host, condition, 2.0)]
+        if whole and condition is not interface.Condition.UP:
+            entries = [
+                interface.HostEntry(*h, interface.Condition.UP, 2.0) for h in HOSTS if h != host
+            ]
+        scope = interface.ListScope.WHOLE if whole else interface.ListScope.UPDATE
         self.world.step([self.world.news(scope, entries)])
 
     @rule(number=st.integers(1, 40))
-    def odd_events(self, number):
+    def send_stray_events(self, number):
         """Outcomes and withdrawals for what is over, a list call that failed, a timer nobody set."""
-        events = [it.ListNews(it.Scope.FAILED, []), it.Timer("wake")]
+        events = [
+            interface.HostListUpdate(interface.ListScope.FAILED, []),
+            interface.TimerExpired("wake"),
+        ]
         if number in self.world.final and number not in self.world.out:
-            events += [it.Outcome(number, 0, 1, R.TIMEOUT, 5, 0, True), it.Withdrawn(number)]
+            events += [
+                interface.Outcome(number, 0, 1, R.TIMEOUT, 5, 0, True),
+                interface.CallbackWithdrawn(number),
+            ]
         self.world.step(events)
 
     @precondition(lambda self: self.world.open)
     @rule()
-    def withdrawn(self):
+    def withdraw(self):
         number = min(self.world.open)
         self.world.final[number] = self.world.open.pop(number)
-        self.world.step([it.Withdrawn(number)])
+        self.world.step([interface.CallbackWithdrawn(number)])
 
     @rule()
     def restart(self):
-        self.world.start([it.HostEntry(*h, it.Condition.UP, 2.0) for h in HOSTS])
+        self.world.start([interface.HostEntry(*h, interface.Condition.UP, 2.0) for h in HOSTS])
 
     def teardown(self):
         if hasattr(self, "world"):
             self.world.advance(30_000 * MS)
             module = self.world.relay
-            assert not self.world.open and not module.state.held and not module.lifecycle.keys
+            assert (
+                not self.world.open
+                and not module.state.callbacks_by_id
+                and not module.lifecycle.callbacks_by_key
+            )
 
 
-Days.TestCase.settings = profile(
+RandomEvents.TestCase.settings = profile(
     derandomize=True, deadline=None, max_examples=150, stateful_step_count=40, database=None
 )
-TestDays = Days.TestCase
+TestRandomEvents = RandomEvents.TestCase
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -5,8 +5,7 @@
 
 import pytest
 
-from molehill import config
-from molehill import interface as it
+from molehill import config, interface
 from tests.ledger import MS, net_given
 
 SITES = sorted(Path(__file__).parent.parent.glob("deploy/sites/*.toml"))
@@ -64,7 +63,7 @@
     }
 
 
-def test_there_are_two_and_they_differ_where_the_operators_deployments_agree():
+def test_sites_cover_both_values_of_each_option():
     sites = [tomllib.loads(path.read_text()) for path in SITES]
     assert (
         [site["name"] for site in sites]
@@ -82,31 +81,33 @@
 
 
 @pytest.mark.parametrize("path", SITES, ids=lambda path: path.stem)
-def test_a_deployment_of_our_own_reads_as_its_file_says(path):
+def test_site_settings_match_site_file(path):
     site = tomllib.loads(path.read_text())
     given = settings_of(site)
     made = config.check(net_given(settings=given), {})
-    rows = made.settings.categories
+    rows = made.settings.callback_classes
     assert list(made.categories) == [c["name"] for c in site["class"]] and list(made.tenants) == [
         t["name"] for t in site["tenant"]
     ]
     for row, c in zip(rows, site["class"]):
-        assert (row.abandon, row.goal, row.window) == (
+        assert (row.time_limit, row.target_latency, row.deduplication_window) == (
             c["deadline_ms"] * MS,
             c["aim_ms"] * MS,
             c.get("window_ms", 0) * MS,
         )
-        assert row.effect is config.EFFECTS[EFFECTS[c["effect"]]] and row.ordered is c.get(
+        assert row.semantics is config.EFFECTS[EFFECTS[c["effect"]]] and row.ordered is c.get(
             "in_order", False
         )
-        assert row.all_hosts is (row.effect is it.Effect.DEDUPLICATED)
-    assert len(set(row.effect for row in rows)) == 3, "each effect is there"
-    assert [kind.per_call for kind in made.settings.kinds] == [
+        assert row.deduplicated_everywhere is (
+            row.semantics is interface.DeliverySemantics.DEDUPLICATED
+        )
+    assert len(set(row.semantics for row in rows)) == 3, "each effect is there"
+    assert [kind.callbacks_per_call for kind in made.settings.kinds] == [
         kind.get("batch", 1) for kind in site["fam"]["kind"]
     ]
-    assert made.settings.halving is (
+    assert made.settings.value_halves is (
         site["fam"]["late"] == "halves"
-    ) and made.settings.tells_limit is ("fields" in site["tier"][0]["report"])
+    ) and made.settings.limits_are_advertised is ("fields" in site["tier"][0]["report"])
     broken = {
         **given,
         "grades": [*given["grades"][:-1], {**given["grades"][-1], "semantics": "perhaps"}],
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -7,8 +7,7 @@
 
 import pytest
 
-from molehill import interface as it
-from molehill import upgrade
+from molehill import interface, upgrade
 from molehill.relay import Process, Start
 from molehill.runtime.kernel import Kernel
 from molehill.runtime.log import Sink
@@ -31,11 +30,17 @@
     def config(self):
         made = super().config(admin="127.0.0.1:1")
         rows = [
-            made.settings.categories[0],
-            replace(made.settings.categories[1], effect=it.Effect.IDEMPOTENT, abandon=30 * SECOND),
+            made.settings.callback_classes[0],
+            replace(
+                made.settings.callback_classes[1],
+                semantics=interface.DeliverySemantics.IDEMPOTENT,
+                time_limit=30 * SECOND,
+            ),
         ]
         return replace(
-            made, admin=("127.0.0.1", 0), settings=replace(made.settings, slots=4, categories=rows)
+            made,
+            admin=("127.0.0.1", 0),
+            settings=replace(made.settings, max_calls=4, callback_classes=rows),
         )
 
     def start(self):
@@ -136,7 +141,7 @@
         and new.can_serve()
         and first_endpoint(new.core.module).limiter.window == 2.5
     )
-    assert new.core.module.state.calls_out == 2 and sorted(new.core.held) == [
+    assert new.core.module.state.calls_in_flight == 2 and sorted(new.core.held) == [
         "id0",
         "id1",
         "id2",
@@ -191,7 +196,7 @@
     owed = two.old.core.held["id2"]
     two.old.core.effects = []
     two.old.core._end_callback(owed, True, 0)
-    two.old.core.inbox.append(it.Withdrawn("id2"))
+    two.old.core.inbox.append(interface.CallbackWithdrawn("id2"))
     two.old.engine.carry(two.old.core.effects)
     hosts, seen, take = two.calls(), [], upgrade.Successor.take
 
@@ -253,13 +258,15 @@
 def test_a_file_that_only_the_old_process_was_told_of_counts_in_the_new_one(two):
     start, made = two.start(), two.config()  # it has read the file by now
     two.file = {
-        "settings": replace(made.settings, max_launches=2, categories=made.settings.categories[:1]),
+        "settings": replace(
+            made.settings, max_attempts=2, callback_classes=made.settings.callback_classes[:1]
+        ),
         "categories": {"notice": 0},
     }
     two.old.on_signal(1)
     new = two.succeed(start)
     assert (
-        new.core.set.max_launches == 2 == new.core.module.state.settings.max_launches
+        new.core.set.max_attempts == 2 == new.core.module.state.settings.max_attempts
         and new.config.categories == {"notice": 0}
     )
     assert b"400" in drain(two.client(ASK % (b"id0", b"plain"))) and b"202" in drain(
