--- a/benchmarks/storage.py
+++ b/benchmarks/storage.py
@@ -11,8 +11,8 @@
 from random import Random
 
 from molehill.storage import codec
-from molehill.storage.drive import Disk
-from molehill.storage.space import SHARE
+from molehill.storage.drive import SpaceSimulator
+from molehill.storage.space import STATE_SHARE
 
 BODY = (
     b'{"order": 123456, "state": "shipped", "lines": ['
@@ -20,7 +20,7 @@
     + b"]}"
 )
 # The records of one callback's life, in the fields that the core writes.
-LIFE = [
+CALLBACK_RECORDS = [
     (
         {
             "k": "taken",
@@ -58,60 +58,60 @@
 ]
 
 
-def timed(work, rows, rounds: int) -> float:
+def time_per_record(work, rows, rounds: int) -> float:
     """Microseconds a record: the best of five, as the others were disturbed."""
     best = None
     for _ in range(5):
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         for _ in range(rounds // 5):
             for row in rows:
                 work(row)
-        took = time.perf_counter() - began
-        best = min(best or took, took)
+        elapsed = time.perf_counter() - started_at
+        best = min(best or elapsed, elapsed)
     return best / (rounds // 5 * len(rows)) * 1e6
 
 
-def codecs(rounds: int) -> None:
-    today = None
+def compare_codecs(rounds: int) -> None:
+    baseline = None
     for version in codec.VERSIONS:
-        payloads = [codec.encode(version, *row) for row in LIFE]
+        payloads = [codec.encode(version, *row) for row in CALLBACK_RECORDS]
         row = (
             sum(map(len, payloads)),
-            timed(lambda r: codec.encode(version, *r), LIFE, rounds),
-            timed(lambda p: codec.decode(version, p), payloads, rounds),
+            time_per_record(lambda r: codec.encode(version, *r), CALLBACK_RECORDS, rounds),
+            time_per_record(lambda p: codec.decode(version, p), payloads, rounds),
         )
-        today = today or row
+        baseline = baseline or row
         print(
-            f"version {version}: {row[0]} bytes a callback ({row[0] / today[0]:.2f}), {row[1]:.2f} us to write a record "
-            f"({row[1] / today[1]:.2f}), {row[2]:.2f} us to read one ({row[2] / today[2]:.2f})"
+            f"version {version}: {row[0]} bytes a callback ({row[0] / baseline[0]:.2f}), {row[1]:.2f} us to write a record "
+            f"({row[1] / baseline[1]:.2f}), {row[2]:.2f} us to read one ({row[2] / baseline[2]:.2f})"
         )
 
 
 # bytes of a state, of what comes later, of all, of one segment
-STATE, RECORD, MOST, SEGMENT = 300, 80, 1_000_000, 20_000
+STATE_BYTES, RECORD_BYTES, MAX_BYTES, SEGMENT_SIZE = 300, 80, 1_000_000, 20_000
 
 
-def room(rounds: int) -> None:
+def compare_space(rounds: int) -> None:
     """Callbacks come and go, so that a share of what may be owed is owed; of "long first" half of them stay to the end."""
     for share in (0.5, 0.7, 0.85):
-        for lives in ("short", "mixed", "long first"):
-            chance, disk, held = Random(5), Disk(MOST, SEGMENT), []
-            most = int(share * MOST * SHARE * 0.9 / STATE)
+        for lifetimes in ("short", "mixed", "long first"):
+            random, simulator, held = Random(5), SpaceSimulator(MAX_BYTES, SEGMENT_SIZE), []
+            most = int(share * MAX_BYTES * STATE_SHARE * 0.9 / STATE_BYTES)
             for n in range(rounds):
-                if len(held) < most and disk.space.may_take(STATE, 2 * RECORD):
-                    disk.append(STATE, f"c{n}", 2 * RECORD)
+                if len(held) < most and simulator.space.can_admit(STATE_BYTES, 2 * RECORD_BYTES):
+                    simulator.append(STATE_BYTES, f"c{n}", 2 * RECORD_BYTES)
                     held.append(f"c{n}")
                     continue
-                stays = most // 2 if lives == "long first" else 0
-                ident = held.pop(
-                    stays + chance.randrange(len(held) - stays) if lives != "short" else 0
+                stays = most // 2 if lifetimes == "long first" else 0
+                callback_id = held.pop(
+                    stays + random.randrange(len(held) - stays) if lifetimes != "short" else 0
                 )
                 for _ in range(2):
-                    disk.append(RECORD, ident)
-                disk.space.over(ident)
+                    simulator.append(RECORD_BYTES, callback_id)
+                simulator.space.remove_state(callback_id)
             print(
-                f"{disk.space.owed / MOST:.2f} of the room owed, lives {lives}: {disk.written / disk.asked:.2f} bytes written for each "
-                f"appended, {disk.longest} states moved at once at most"
+                f"{simulator.space.live_bytes / MAX_BYTES:.2f} of the room owed, lives {lifetimes}: {simulator.written / simulator.appended:.2f} bytes written for each "
+                f"appended, {simulator.most_moved} states moved at once at most"
             )
 
 
@@ -119,5 +119,5 @@
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("what", choices=["codec", "room"])
     parser.add_argument("--rounds", type=int, default=20_000)
-    given = parser.parse_args()
-    {"codec": codecs, "room": room}[given.what](given.rounds)
+    arguments = parser.parse_args()
+    {"codec": compare_codecs, "room": compare_space}[arguments.what](arguments.rounds)
--- a/molehill/core/classes.py
+++ b/molehill/core/classes.py
@@ -9,54 +9,62 @@
 from molehill import interface
 
 
-class Classes:
-    def __init__(self, names, rows):
-        self.names, self.rows = list(names), list(rows)
+class ClassTable:
+    def __init__(self, names, definitions):
+        self.names, self.definitions = list(names), list(definitions)
         # what a client's name means now
-        self.current = {name: n for n, name in enumerate(names)}
+        self.numbers = {name: number for number, name in enumerate(names)}
         # number in the log as it is read -> name and row
-        self.logged: dict[int, tuple] = {}
+        self.logged_classes: dict[int, tuple] = {}
 
-    def number(self, name: str, row: interface.CallbackClass, used) -> int:
+    def assign_number(self, name: str, definition: interface.CallbackClass, used) -> int:
         """That of this name with just this row; one that neither `used` nor the settings need is given anew."""
-        for n, known in enumerate(zip(self.names, self.rows)):
-            if known == (name, row):
-                return n
-        n = next((n for n in range(len(self.rows)) if n not in used), len(self.rows))
-        self.names[n : n + 1], self.rows[n : n + 1] = [name], [row]
-        return n
-
-    def renew(self, names, rows, held) -> None:
+        for number, known in enumerate(zip(self.names, self.definitions)):
+            if known == (name, definition):
+                return number
+        number = next(
+            (number for number in range(len(self.definitions)) if number not in used),
+            len(self.definitions),
+        )
+        self.names[number : number + 1], self.definitions[number : number + 1] = (
+            [name],
+            [definition],
+        )
+        return number
+
+    def update(self, names, definitions, held) -> None:
         """Takes new settings. `held`: the numbers that callbacks bear."""
-        wanted = list(zip(names, rows))
+        wanted = list(zip(names, definitions))
         used = set(held) | {
-            n for n, known in enumerate(zip(self.names, self.rows)) if known in wanted
+            number
+            for number, known in enumerate(zip(self.names, self.definitions))
+            if known in wanted
         }
-        self.current = {}
-        for name, row in wanted:
-            self.current[name] = self.number(name, row, used)
-            used.add(self.current[name])
+        self.numbers = {}
+        for name, definition in wanted:
+            self.numbers[name] = self.assign_number(name, definition, used)
+            used.add(self.numbers[name])
 
     # In the log, so that a callback keeps its category over a restart with other settings
 
     def records(self):
-        for n, (name, row) in enumerate(zip(self.names, self.rows)):
-            effect, *rest = astuple(row)
-            yield {"k": "class", "n": n, "name": name, "row": [effect.value, *rest]}
+        for number, (name, definition) in enumerate(zip(self.names, self.definitions)):
+            effect, *rest = astuple(definition)
+            yield {"k": "class", "n": number, "name": name, "row": [effect.value, *rest]}
 
-    def read(self, record) -> None:
+    def load_record(self, record) -> None:
         """A record of the log: what its number means in the records behind it."""
         effect, *rest = record["row"]
-        self.logged[record["n"]] = (
+        self.logged_classes[record["n"]] = (
             record["name"],
             interface.CallbackClass(interface.DeliverySemantics(effect), *rest),
         )
 
-    def read_number(self, n: int) -> int:
+    def resolve_number(self, number: int) -> int:
         """What a number of the log means; an older log has no such records, and its numbers are the settings' own."""
-        if n in self.logged:
-            name, row = self.logged[n]
-            return self.number(name, row, range(len(self.rows)))
-        if not 0 <= n < len(self.rows):
-            raise KeyError(f"category {n}")  # the record is of no use
-        return n
+        if number in self.logged_classes:
+            name, definition = self.logged_classes[number]
+            return self.assign_number(name, definition, range(len(self.definitions)))
+        if not 0 <= number < len(self.definitions):
+            raise KeyError(f"category {number}")  # the record is of no use
+        return number
--- a/molehill/core/events.py
+++ b/molehill/core/events.py
@@ -9,21 +9,23 @@
 
 
 @dataclass(slots=True)
-class Fresh:
+class Submission:
     """A callback as a client hands it in."""
 
     id: str
-    category: int
+    callback_class: int
     tenant: int
     key: Optional[str]
     destination: int
-    due: int
-    mark: Optional[str]  # the idempotency key, passed on unchanged
+    deadline: int
+    idempotency_key: Optional[str]  # the idempotency key, passed on unchanged
     body: bytes
 
-    def contents(self) -> bytes:
-        """16 bytes that tell apart what was handed in under one id. Not `due`: it counts from when a copy came."""
-        fields = repr((self.category, self.tenant, self.key, self.destination, self.mark)).encode()
+    def digest(self) -> bytes:
+        """16 bytes that tell apart what was handed in under one id. Not `deadline`: it counts from when a copy came."""
+        fields = repr(
+            (self.callback_class, self.tenant, self.key, self.destination, self.idempotency_key)
+        ).encode()
         return blake2b(fields + b"\n" + self.body, digest_size=16).digest()
 
 
@@ -35,96 +37,96 @@
     kind: int
     destination: int
     condition: interface.Condition
-    units: float
+    weight: float
     zone_name: str = ""
     kind_name: str = ""
 
 
 @dataclass(slots=True)
-class End:
+class AttemptOutcome:
     """What became of one callback of a call."""
 
     id: str
     result: interface.Result
-    wait: int = 0
-    closed: bool = False
-    spent: bool = False
+    retry_after: int = 0
+    completed: bool = False
+    attempts_exhausted: bool = False
     unsent: bool = False  # kept back by this relay: no launch
-    why: Optional[Refusal] = None  # why it was not sent, where that is known
+    reason: Optional[Refusal] = None  # why it was not sent, where that is known
 
 
 # Events
 
 
 @dataclass(slots=True)
-class Begin:  # the log has been read: take up what is owed
+class Start:  # the log has been read: take up what is owed
     pass
 
 
 @dataclass(slots=True)
-class Arrived:
+class Submitted:
     client: object  # whom to answer; given back as it came
-    fresh: Fresh
+    submission: Submission
 
 
 @dataclass(slots=True)
-class Heard:  # the answer that it is taken on has been written to that client
+class AnswerWritten:  # the answer that it is taken on has been written to that client
     id: str
     client: object
 
 
 @dataclass(slots=True)
-class Unheard:  # that client was gone before, or its time for an answer is up
+class AnswerNotWritten:  # that client was gone before, or its time for an answer is up
     id: str
     client: object
 
 
 @dataclass(slots=True)
-class Unlogged:  # the log would not take these records
+class AppendFailed:  # the log would not take these records
     records: list
 
 
 @dataclass(slots=True)
-class EndUnlogged:  # the time of an ended callback is up, and the log has not taken its end
+class EndNotLogged:  # the time of an ended callback is up, and the log has not taken its end
     id: str
 
 
 @dataclass(slots=True)
-class LogWorks:  # the log takes records again
+class LogWritable:  # the log takes records again
     pass
 
 
 @dataclass(slots=True)
-class Begun:  # a connection is up, and the call's first byte is about to go
+class CallConnected:  # a connection is up, and the call's first byte is about to go
     call: int
 
 
 @dataclass(slots=True)
-class Ended:
+class CallEnded:
     call: int
-    took: int
-    ends: list[End]
-    told_rate: float = 0.0
-    told_left: Optional[float] = None
+    duration: int
+    outcomes: list[AttemptOutcome]
+    advertised_rate: float = 0.0
+    advertised_left: Optional[float] = None
     written_at: Optional[int] = None  # when its last byte went; None: it did not go
-    # given up with no byte of an answer: till then the host may read it, unless `HostDone` tells; None: it has read it, or never will
+    # given up with no byte of an answer: till then the host may read it, unless `HostFinishedReading` tells; None: it has read it, or never will
     unread_until: Optional[int] = None
 
 
 @dataclass(slots=True)
-# the host of a call that was given up reads no more of it; `seen`: it has ended the connection or answered, else nobody looks any more
-class HostDone:
+# the host of a call that was given up reads no more of it; `confirmed`: it has ended the connection or answered, else nobody looks any more
+class HostFinishedReading:
     call: int
-    seen: bool
+    confirmed: bool
 
 
 @dataclass(slots=True)
-class Noticed:  # the platform has the notices for these
+class NoticesDelivered:  # the platform has the notices for these
     ids: list[str]
 
 
 @dataclass(slots=True)
-class Listed:
+class HostListReceived:
     scope: interface.ListScope
     hosts: list[Host] = field(default_factory=list)
     version: Optional[int] = (
@@ -145,24 +147,24 @@
 
 @dataclass(slots=True)
 # the next process of this relay is to take over: no call is begun while it is on
-class Hold:
-    on: bool
+class PauseCalls:
+    paused: bool
 
 
 @dataclass(slots=True)
 # what an earlier process handed over beside the log; before Begin
-class Inherited:
+class HandoverReceived:
     # (number, host, ids, start, until): out, and their ends come to this process
     calls: list
-    lost: list[str]  # out in calls that are not among them: they may have run
-    waits: dict  # route -> end of a told wait
-    learnt: list[dict]  # for the module, as the earlier one told it
+    lost_ids: list[str]  # out in calls that are not among them: they may have run
+    retry_times: dict  # route -> end of a told wait
+    learned_state: list[dict]  # for the module, as the earlier one told it
 
 
 @dataclass(slots=True)
-class Retuned:  # new settings; `names`: their categories', in order
+class SettingsChanged:  # new settings; `class_names`: their categories', in order
     settings: interface.Settings
-    names: list[str]
+    class_names: list[str]
 
 
 # Effects
@@ -179,16 +181,16 @@
     client: object
     id: str
     status: int
-    wait: int = 0
-    why: str = ""  # what it counts as, where the status does not tell
+    retry_after: int = 0
+    reason: str = ""  # what it counts as, where the status does not tell
 
 
 @dataclass(slots=True)
-class Member:
+class OutgoingCallback:
     id: str
-    mark: Optional[str]
+    idempotency_key: Optional[str]
     body: bytes
-    until: int  # given up at that time
+    deadline: int  # given up at that time
 
 
 @dataclass(slots=True)
@@ -196,8 +198,8 @@
     number: int
     host: str
     address: tuple[str, int]
-    bundle: bool  # whether this kind of host takes several callbacks a call
-    members: list[Member]
+    is_bundle: bool  # whether this kind of host takes several callbacks a call
+    callbacks: list[OutgoingCallback]
 
 
 @dataclass(slots=True)
@@ -208,24 +210,24 @@
 @dataclass(slots=True)
 class Notify:
     id: str
-    denied: bool
-    wait: int
+    rejected: bool
+    retry_after: int
     not_before: int = 0  # the notice goes no sooner
-    due: int = 0  # when its callback's time is up: till then it waits for a log that fails
+    deadline: int = 0  # when its callback's time is up: till then it waits for a log that fails
 
 
 @dataclass(slots=True)
 class NotSent:  # a log line: a callback that was chosen for that host did not go there
     id: str
     host: str
-    why: Refusal
+    reason: Refusal
     state: str = ""  # of the callback; empty: nothing of it is kept
-    left: int = 0  # nanoseconds until its time is up
-    launches: int = 0
+    time_left: int = 0  # nanoseconds until its time is up
+    attempts: int = 0
 
 
 @dataclass(slots=True)
-class Watch:
+class WatchHostList:
     pass
 
 
@@ -235,5 +237,5 @@
 
 
 @dataclass(slots=True)
-class Say:  # a log line
+class LogMessage:  # a log line
     text: str
--- a/molehill/core/host_table.py
+++ b/molehill/core/host_table.py
@@ -8,103 +8,107 @@
 from molehill import interface
 from molehill.config import SECOND
 from molehill.core import events as ev
-from molehill.core.figures import Figures
+from molehill.core.metrics import Metrics
 
 # longer than any gap in the list: a host that is back sooner is the one known
-LEFT_KEPT = 60 * SECOND
+REMOVED_HOST_RETENTION = 60 * SECOND
 
 
-class Shown(NamedTuple):
+class GaugeState(NamedTuple):
     """How a host counts in the gauges of the list."""
 
     listed: bool = False
-    avoided: bool = False
+    unavailable: bool = False
 
 
 class HostTable:
     """Hosts by their id, those that left lately with them."""
 
-    def __init__(self, figures: Figures):
-        self.figures = figures
-        self.known: dict[str, ev.Host] = {}
-        self.waits: dict[object, int] = {}  # route -> end of a told wait
+    def __init__(self, metrics: Metrics):
+        self.metrics = metrics
+        self.by_id: dict[str, ev.Host] = {}
+        self.retry_times: dict[object, int] = {}  # route -> end of a told wait
         # host -> None while closed, then when its ramp is over
-        self.away: dict[str, Optional[int]] = {}
-        self.left: dict[str, int] = {}  # host that is not listed -> since when
-        self.shown: dict[str, Shown] = {}  # of hosts that are listed
+        self.ejected: dict[str, Optional[int]] = {}
+        self.unlisted_since: dict[str, int] = {}  # host that is not listed -> since when
+        self.gauge_states: dict[str, GaugeState] = {}  # of hosts that are listed
 
     def __getitem__(self, host: str) -> ev.Host:
-        return self.known[host]
+        return self.by_id[host]
 
     def __contains__(self, host: str) -> bool:
-        return host in self.known
+        return host in self.by_id
 
     def __iter__(self) -> Iterator[str]:
-        return iter(self.known)
+        return iter(self.by_id)
 
     def __len__(self) -> int:
-        return len(self.known)
+        return len(self.by_id)
 
     def values(self) -> Iterable[ev.Host]:
         """All that are known."""
-        return self.known.values()
+        return self.by_id.values()
 
-    def set_health(self, host: str, ramp_over: Optional[int]) -> None:
+    def set_health(self, host: str, slow_start_end: Optional[int]) -> None:
         """Rule 4 over restarts: a host is away from its closing (None) until it has answered for the whole ramp."""
-        self.away[host] = ramp_over
-        self._show(host)
+        self.ejected[host] = slow_start_end
+        self._update_gauges(host)
 
-    def is_away(self, host: str, now: int) -> bool:
+    def is_ejected(self, host: str, now: int) -> bool:
         """Whether it was closed and has not yet answered for the whole ramp."""
-        if host not in self.away:
+        if host not in self.ejected:
             return False
-        ramp_over = self.away[host]
-        return ramp_over is None or now < ramp_over
+        slow_start_end = self.ejected[host]
+        return slow_start_end is None or now < slow_start_end
 
-    def _show(self, number: str) -> None:
+    def _update_gauges(self, host_id: str) -> None:
         """Keeps the gauges of the list: what of this host counts in them now."""
-        host = self.known.get(number)
+        host = self.by_id.get(host_id)
         listed = host is not None and host.condition is not interface.Condition.GONE
         serving = host is not None and host.condition is interface.Condition.UP
-        avoided = listed and (not serving or self.away.get(number, 0) is None)
-        before = self.shown.get(number, Shown())
-        self.figures.registry_entries += listed - before.listed
-        self.figures.out_of_rotation += avoided - before.avoided
+        unavailable = listed and (not serving or self.ejected.get(host_id, 0) is None)
+        before = self.gauge_states.get(host_id, GaugeState())
+        self.metrics.registry_entries += listed - before.listed
+        self.metrics.out_of_rotation += unavailable - before.unavailable
         if listed:
-            self.shown[number] = Shown(listed, avoided)
+            self.gauge_states[host_id] = GaugeState(listed, unavailable)
         else:
-            self.shown.pop(number, None)
+            self.gauge_states.pop(host_id, None)
 
-    def take_list(self, hosts: list[ev.Host], whole: bool) -> list[str]:
+    def apply_list(self, hosts: list[ev.Host], is_complete: bool) -> list[str]:
         """The list, or what changed of it; ids of hosts whose idle connections are of no use any more."""
-        if whole:
+        if is_complete:
             named = {host.id for host in hosts}
-            for host in [host for host in self.known.values() if host.id not in named]:
+            for host in [host for host in self.by_id.values() if host.id not in named]:
                 host.condition = interface.Condition.GONE
-                self._show(host.id)
-        useless = []
+                self._update_gauges(host.id)
+        stale = []
         for host in hosts:
-            before = self.known.get(host.id, host)
-            self.known[host.id] = host
+            before = self.by_id.get(host.id, host)
+            self.by_id[host.id] = host
             if host.condition is interface.Condition.GONE or before.address != host.address:
-                useless.append(host.id)
-            self._show(host.id)
-        return useless
+                stale.append(host.id)
+            self._update_gauges(host.id)
+        return stale
 
-    def add_wait(self, route: object, until: int) -> None:
+    def set_retry_time(self, route: object, until: int) -> None:
         """A host told that route to wait."""
-        self.waits[route] = max(self.waits.get(route, 0), until)
+        self.retry_times[route] = max(self.retry_times.get(route, 0), until)
 
-    def forget(self, busy: set[Any], now: int) -> None:
+    def drop_expired(self, busy: set[Any], now: int) -> None:
         """Drops what is kept of hosts that left long ago and are not `busy`; waits and ramps that are over."""
-        for number in [*self.known, *self.away]:
-            host = self.known.get(number)
+        for host_id in [*self.by_id, *self.ejected]:
+            host = self.by_id.get(host_id)
             listed = host is not None and host.condition is not interface.Condition.GONE
-            if number in busy or listed:
-                self.left.pop(number, None)
-            elif now - self.left.setdefault(number, now) > LEFT_KEPT:
-                self.known.pop(number, None)
-                self.away.pop(number, None)
-                self.left.pop(number, None)
-        self.waits = {route: until for route, until in self.waits.items() if until > now}
-        self.away = {host: until for host, until in self.away.items() if self.is_away(host, now)}
+            if host_id in busy or listed:
+                self.unlisted_since.pop(host_id, None)
+            elif now - self.unlisted_since.setdefault(host_id, now) > REMOVED_HOST_RETENTION:
+                self.by_id.pop(host_id, None)
+                self.ejected.pop(host_id, None)
+                self.unlisted_since.pop(host_id, None)
+        self.retry_times = {
+            route: until for route, until in self.retry_times.items() if until > now
+        }
+        self.ejected = {
+            host: until for host, until in self.ejected.items() if self.is_ejected(host, now)
+        }
--- a/molehill/core/figures.py
+++ b/molehill/core/metrics.py
@@ -8,7 +8,7 @@
 from molehill.core.permission import Refusal
 
 DELIVERED, THROTTLED, FAULTED = "fulfilled", "throttled", "faulted"
-ENDS = (DELIVERED, THROTTLED, FAULTED)
+END_NAMES = (DELIVERED, THROTTLED, FAULTED)
 COUNTS, GAUGES = (
     ("relayed", "cfg_accepted", "cfg_invalid"),
     ("open_requests", "registry_entries", "out_of_rotation"),
@@ -16,26 +16,31 @@
 PREFIX = "router"
 
 
-class Figures:
-    """`ends`: class of callback -> how many ended in each way; one that vanished keeps its row."""
+class Metrics:
+    """`end_counts`: class of callback -> how many ended in each way; one that vanished keeps its row."""
 
     def __init__(self, classes):
-        self.ends: dict[str, dict[str, int]] = {}
+        self.end_counts: dict[str, dict[str, int]] = {}
         self.relayed = self.cfg_accepted = self.cfg_invalid = 0
         self.open_requests = self.registry_entries = self.out_of_rotation = 0
         self.not_sent: Counter[Refusal] = Counter()  # callbacks that were chosen and did not go
-        self.name(classes)
+        self.add_classes(classes)
 
-    def name(self, classes) -> None:
-        for one in classes:
-            self.ends.setdefault(one, dict.fromkeys(ENDS, 0))
+    def add_classes(self, classes) -> None:
+        for class_name in classes:
+            self.end_counts.setdefault(class_name, dict.fromkeys(END_NAMES, 0))
 
-    def text(self) -> str:
+    def render(self) -> str:
         """A line a figure: `router.NAME:VALUE|c` (a count) or `|g` (a gauge)."""
         rows = [
-            (f"{end}.{one}", counts[end], "c") for one, counts in self.ends.items() for end in ENDS
+            (f"{end}.{class_name}", counts[end], "c")
+            for class_name, counts in self.end_counts.items()
+            for end in END_NAMES
+        ]
+        rows += [
+            (f"not_sent.{reason.name.lower()}", count, "c")
+            for reason, count in self.not_sent.items()
         ]
-        rows += [(f"not_sent.{why.name.lower()}", n, "c") for why, n in self.not_sent.items()]
         rows += [(name, getattr(self, name), "c") for name in COUNTS] + [
             (name, getattr(self, name), "g") for name in GAUGES
         ]
--- a/molehill/core/permission.py
+++ b/molehill/core/permission.py
@@ -51,50 +51,57 @@
 )
 
 
-def of_repeat(callback, category: interface.CallbackClass, now: int) -> Optional[Refusal]:
+def check_repeat(callback, callback_class: interface.CallbackClass, now: int) -> Optional[Refusal]:
     """Why it may not run once more now; None: it may, or nothing of it may have run. Rule 2."""
-    if callback.ran_at is None or category.semantics is interface.DeliverySemantics.IDEMPOTENT:
+    if (
+        callback.ran_at is None
+        or callback_class.semantics is interface.DeliverySemantics.IDEMPOTENT
+    ):
         return None
-    if category.semantics is interface.DeliverySemantics.AT_MOST_ONCE:
+    if callback_class.semantics is interface.DeliverySemantics.AT_MOST_ONCE:
         return Refusal.MAY_HAVE_RUN
-    return Refusal.WINDOW_OVER if now >= callback.ran_at + category.deduplication_window else None
+    return (
+        Refusal.WINDOW_OVER
+        if now >= callback.ran_at + callback_class.deduplication_window
+        else None
+    )
 
 
-def of_route(host, wait_until: int, now: int) -> Optional[Refusal]:
+def check_route(host, retry_at: int, now: int) -> Optional[Refusal]:
     """Why nothing may go to that host now. Rules 3 and 6."""
     if host.condition is not interface.Condition.UP:
         return Refusal.HOST_NOT_UP
-    return Refusal.TOLD_TO_WAIT if now < wait_until else None
+    return Refusal.TOLD_TO_WAIT if now < retry_at else None
 
 
-def of_call(
-    callback, number: int, held: bool, until: int, stop_at: Optional[int], now: int
+def check_call(
+    callback, call_number: int, is_pending: bool, deadline: int, stop_at: Optional[int], now: int
 ) -> Optional[Refusal]:
     """Why a callback of a call that is out may not be written any more. Rule 1.
 
-    `callback`: None once nothing of it is kept; `number`: the call's; `held`: it has no end yet; `until`: when its call is given up.
+    `callback`: None once nothing of it is kept; `call_number`: the call's; `is_pending`: it has no end yet; `deadline`: when its call is given up.
     """
-    if callback is None or not held:
+    if callback is None or not is_pending:
         return Refusal.ENDED
-    if callback.call != number:
+    if callback.call != call_number:
         return Refusal.CALL_IS_OUT
-    if now >= until:
+    if now >= deadline:
         return Refusal.TIME_UP
     return Refusal.RELAY_ENDS if stop_at is not None and now >= stop_at else None
 
 
-def of_begin(
-    callback, heard: bool, first_of_key: bool, stop_at: Optional[int], now: int
+def check_start(
+    callback, acknowledged: bool, first_of_key: bool, stop_at: Optional[int], now: int
 ) -> Optional[Refusal]:
     """Why no call of it may be begun now. Rules 1 and 5.
 
-    `heard`: its client knows that it is taken on, and it has no end yet; `first_of_key`: nothing of its key stands before it.
+    `acknowledged`: its client knows that it is taken on, and it has no end yet; `first_of_key`: nothing of its key stands before it.
     """
     if callback.call is not None:
         return Refusal.CALL_IS_OUT
-    if not heard:
+    if not acknowledged:
         return Refusal.CLIENT_NOT_TOLD
-    if now >= callback.due:
+    if now >= callback.deadline:
         return Refusal.TIME_UP
     if not first_of_key:
         return Refusal.KEY_BUSY
--- a/molehill/core/recovery.py
+++ b/molehill/core/recovery.py
@@ -5,16 +5,18 @@
 
 from molehill import interface
 from molehill.core import events as ev
-from molehill.core.callback import ARRIVED, HELD, OVER, OWED, Callback
+from molehill.core.callback import ACKNOWLEDGED, COMPLETED, NOTICE_PENDING, RECEIVED, Callback
 from molehill.interface import Result
 
-RECORD_KIND = re.compile(rb'"k":"([a-z]+)"')
+RECORD_KIND_PATTERN = re.compile(rb'"k":"([a-z]+)"')
 # kinds of record that are surely no launch
-OTHER_KINDS = b"taken end owed over done class rest health list clock filler".split()
+NON_ATTEMPT_KINDS = b"taken end owed over done class rest health list clock filler".split()
 LONG_AGO = 0  # of a launch at an unknown time: before any window that is still open
 # of the room for what is owed, in a snapshot for the latest ids over: seconds to minutes of traffic
-DONE_PART = 8
-DONE_ROOM = 48  # bytes of such an id beside its text: contents in hex, quotes and commas
+COMPLETED_IDS_DIVISOR = 8
+COMPLETED_ID_OVERHEAD = (
+    48  # bytes of such an id beside its text: contents in hex, quotes and commas
+)
 
 
 class Recovery:
@@ -28,10 +30,10 @@
             "owed": self._load_owed,
             "over": self._load_over,
             "done": self._load_done,
-            "class": core.classes.read,
+            "class": core.classes.load_record,
             "rest": self._load_rest,
             "health": self._load_health,
-            "list": core.told.load,
+            "list": core.received_list.load,
         }
 
     def load(self, record: dict, body: bytes) -> None:
@@ -45,11 +47,11 @@
 
     def _load_taken(self, record, body):
         core = self.core
-        if record["id"] in core.held:
+        if record["id"] in core.callbacks:
             return
-        fresh = ev.Fresh(
+        submission = ev.Submission(
             record["id"],
-            core.classes.read_number(record["category"]),
+            core.classes.resolve_number(record["category"]),
             record["tenant"],
             record["key"],
             record["destination"],
@@ -57,57 +59,61 @@
             record["mark"],
             body,
         )
-        told = record.get("contents")
-        contents = bytes.fromhex(told) if told else fresh.contents() if body else None
-        callback = core.held[fresh.id] = Callback(fresh, contents)
-        callback.launches = record.get("launches", 0)
+        digest_hex = record.get("contents")
+        digest = bytes.fromhex(digest_hex) if digest_hex else submission.digest() if body else None
+        callback = core.callbacks[submission.id] = Callback(submission, digest)
+        callback.attempts = record.get("launches", 0)
         callback.ran_at = record.get("ran_at")
         callback.ran_zone = record.get("ran_zone")
-        core.figures.name([core.classes.names[callback.category]])
-        core.move(callback, HELD)
+        core.metrics.add_classes([core.classes.names[callback.callback_class]])
+        core.set_state(callback, ACKNOWLEDGED)
 
     def _load_launch(self, record):
-        for callback in self.core.known(record["ids"]):
+        for callback in self.core.find_callbacks(record["ids"]):
             # Danger: a process ended under the launch before, and the next one only knew so in memory. Its window
             # and zone count from that first launch, not from this one.
-            if callback.sent is not None:
-                self.core.settle_launch(callback, Result.RESET, callback.sent[0])
-            callback.launches += 1
-            callback.sent = record["at"], record["zone"]
+            if callback.current_attempt is not None:
+                self.core.settle_attempt(callback, Result.RESET, callback.current_attempt[0])
+            callback.attempts += 1
+            callback.current_attempt = record["at"], record["zone"]
 
     def _load_end(self, record):
-        for number, result, over, unsent in record["ends"]:
-            for callback in self.core.known([number]):
-                if Result(result).may_still_run and callback.sent is not None:
-                    self.core.final_notices.recovered(callback, callback.sent[0])
-                self.core.settle_launch(callback, Result(result), record["at"], unsent)
-                if over:
-                    self.core.move(callback, OVER)
+        for callback_id, result, completed, unsent in record["ends"]:
+            for callback in self.core.find_callbacks([callback_id]):
+                if Result(result).may_still_run and callback.current_attempt is not None:
+                    self.core.final_notices.delay_after_recovery(
+                        callback, callback.current_attempt[0]
+                    )
+                self.core.settle_attempt(callback, Result(result), record["at"], unsent)
+                if completed:
+                    self.core.set_state(callback, COMPLETED)
 
     def _load_owed(self, record):
-        for callback in self.core.known([record["id"]]):
-            callback.denied, callback.wait = record["denied"], record["wait"]
-            if callback.state is HELD:
-                self.core.move(callback, OWED)
+        for callback in self.core.find_callbacks([record["id"]]):
+            callback.rejected, callback.retry_after = record["denied"], record["wait"]
+            if callback.state is ACKNOWLEDGED:
+                self.core.set_state(callback, NOTICE_PENDING)
 
     def _load_over(self, record):
-        for callback in self.core.known(record["ids"]):
+        for callback in self.core.find_callbacks(record["ids"]):
             # over, while its call was out with others
-            if callback.sent is not None and callback.key is not None:
-                self.core.unsettled[callback.key] = True
-            self.core.move(callback, OVER)
+            if callback.current_attempt is not None and callback.key is not None:
+                self.core.unsettled_keys[callback.key] = True
+            self.core.set_state(callback, COMPLETED)
 
     def _load_done(self, record):
-        for number, told in record["ids"]:
-            self.core.done.add(number, bytes.fromhex(told) if told else None)
+        for callback_id, digest_hex in record["ids"]:
+            self.core.recently_completed.add(
+                callback_id, bytes.fromhex(digest_hex) if digest_hex else None
+            )
 
     def _load_rest(self, record):
-        self.core.rests[record["key"]] = record["until"]
+        self.core.cooldowns[record["key"]] = record["until"]
 
     def _load_health(self, record):
         self.core.set_health(record["host"], record["away"], record["at"])
 
-    def load_spoilt(self, data: bytes) -> None:
+    def load_corrupt(self, data: bytes) -> None:
         """Bytes of the log that can't be read.
 
         Danger: they may be a launch, whose callback would run twice. So those that it may have launched, all that look
@@ -115,89 +121,94 @@
         """
         if not data.strip(b"\0"):  # a hole in the file
             return
-        kind = RECORD_KIND.search(data)
-        if kind is not None and kind[1] in OTHER_KINDS:
+        kind = RECORD_KIND_PATTERN.search(data)
+        if kind is not None and kind[1] in NON_ATTEMPT_KINDS:
             return
         untried = [
-            callback for callback in self.core.held.values() if self._looks_untried(callback)
+            callback for callback in self.core.callbacks.values() if self._looks_untried(callback)
         ]
         named = [callback for callback in untried if b'"%s"' % callback.id.encode() in data]
         for callback in named or untried:
-            callback.launches += 1
-            callback.sent = LONG_AGO, None
+            callback.attempts += 1
+            callback.current_attempt = LONG_AGO, None
 
     def _looks_untried(self, callback) -> bool:
-        effect = self.core.set.callback_classes[callback.category].semantics
+        effect = self.core.settings.callback_classes[callback.callback_class].semantics
         return (
-            callback.sent is None
+            callback.current_attempt is None
             and callback.ran_at is None
             and effect is not interface.DeliverySemantics.IDEMPOTENT
         )
 
 
-def as_handed_in(callback) -> dict:
+def submitted_fields(callback) -> dict:
     """The fields of a `taken` record that never change."""
-    row = {
+    fields = {
         "id": callback.id,
-        "category": callback.category,
+        "category": callback.callback_class,
         "tenant": callback.tenant,
         "key": callback.key,
         "destination": callback.destination,
-        "due": callback.due,
-        "mark": callback.mark,
+        "due": callback.deadline,
+        "mark": callback.idempotency_key,
     }
-    if not callback.body and callback.contents:  # nothing to work them out from, or no longer
-        row["contents"] = callback.contents.hex()
-    return row
+    if not callback.body and callback.digest:  # nothing to work them out from, or no longer
+        fields["contents"] = callback.digest.hex()
+    return fields
 
 
 def snapshot(core) -> Iterator[tuple[dict, bytes]]:
     """The records, each with its body, that say all that is owed now."""
     for record in core.classes.records():
         yield record, b""
-    for key, until in core.rests.items():
+    for key, until in core.cooldowns.items():
         yield {"k": "rest", "key": key, "until": until}, b""
-    for host, until in core.hosts.away.items():
-        if core.hosts.is_away(host, core.now):
-            at = until and until - (core.set.slow_start_time or 0)
+    for host, until in core.hosts.ejected.items():
+        if core.hosts.is_ejected(host, core.now):
+            at = until and until - (core.settings.slow_start_time or 0)
             yield {"k": "health", "host": host, "away": until is None, "at": at}, b""
-    if core.told.version is not None:
-        yield {"k": "list", **core.told.record(core.told.rows.values())}, b""
-    lately = _lately_over(core)
-    if lately:
-        yield {"k": "done", "ids": lately}, b""
-    for callback in core.held.values():
-        if callback.state is not ARRIVED:
+    if core.received_list.version is not None:
+        yield {"k": "list", **core.received_list.as_record(core.received_list.rows.values())}, b""
+    recent = _recently_completed(core)
+    if recent:
+        yield {"k": "done", "ids": recent}, b""
+    for callback in core.callbacks.values():
+        if callback.state is not RECEIVED:
             yield from _records_of(core, callback)
 
 
-def _lately_over(core) -> list:
+def _recently_completed(core) -> list:
     """Danger: forgotten with the log that told of them, a request that its client sends once more after a restart is taken
     on anew."""
-    rows, room = [], core.log_room // DONE_PART
-    for number, contents in core.done.newest_first():
-        room -= len(number) + DONE_ROOM
-        if room < 0:
+    rows, space_left = [], core.log_capacity // COMPLETED_IDS_DIVISOR
+    for callback_id, digest in core.recently_completed.newest_first():
+        space_left -= len(callback_id) + COMPLETED_ID_OVERHEAD
+        if space_left < 0:
             break
-        rows.append([number, contents and contents.hex()])
+        rows.append([callback_id, digest and digest.hex()])
     return rows[::-1]
 
 
 def _records_of(core, callback) -> Iterator[tuple[dict, bytes]]:
-    is_out = callback.sent is not None
+    is_in_flight = callback.current_attempt is not None
     taken = {
         "k": "taken",
-        **as_handed_in(callback),
-        "launches": callback.launches - is_out,
+        **submitted_fields(callback),
+        "launches": callback.attempts - is_in_flight,
         "ran_at": callback.ran_at,
         "ran_zone": callback.ran_zone,
     }
     yield taken, callback.body
-    if is_out and (callback.call not in core.calls or core.calls[callback.call].begun):
-        at, zone = callback.sent
+    if is_in_flight and (callback.call not in core.calls or core.calls[callback.call].is_logged):
+        at, zone = callback.current_attempt
         yield {"k": "launch", "ids": [callback.id], "at": at, "zone": zone}, b""
-    if callback.state is OWED:
+    if callback.state is NOTICE_PENDING:
         yield (
-            {"k": "owed", "id": callback.id, "denied": callback.denied, "wait": callback.wait},
+            {
+                "k": "owed",
+                "id": callback.id,
+                "denied": callback.rejected,
+                "wait": callback.retry_after,
+            },
             b"",
         )
--- a/molehill/emulator/life.py
+++ b/molehill/emulator/life.py
@@ -499,12 +499,12 @@
         if http.membership is not None:
             counted += http.membership.descriptors()
         return {
-            "held": len(core.held),
+            "held": len(core.callbacks),
             "calls": len(core.calls),
-            "parked": len(core.parked),
-            "owed_keys": len(core.owed_keys),
-            "used": core.used,
-            "open": core.open,
+            "parked": len(core.queued_calls),
+            "owed_keys": len(core.keys_awaiting_notice),
+            "used": core.log_bytes_used,
+            "open": core.open_count,
             "module held": len(core.module.state.callbacks_by_id),
             "streams": len(http.hosts.streams),
             "notices": http.notices.owed,
--- a/molehill/emulator/mutations.py
+++ b/molehill/emulator/mutations.py
@@ -108,7 +108,7 @@
 
 def with_the_last(before):
     """A call goes on until the last of its members' times, and what comes by then is taken for each one's delivery."""
-    return lambda call: max(member.until for member in call.members)
+    return lambda call: max(member.deadline for member in call.callbacks)
 
 
 def never_resent(before):
@@ -142,7 +142,7 @@
     def change(before):
         def fresh(self, headers, body):
             made = before(self, headers, body)
-            made.due += span
+            made.deadline += span
             return made
 
         return fresh
@@ -165,7 +165,7 @@
     def go(self, out):
         before(self, out)
         if out.number in self.calls:
-            self._log_launch(out)
+            self._log_attempts(out)
 
     return go
 
@@ -204,26 +204,26 @@
 
 def wall_time(before):
     def find(lines, machine):
-        return log_clock.LogClock(machine.wall() - machine.clock(), log_clock.Base.FIRST)
+        return log_clock.LogClock(machine.wall() - machine.clock(), log_clock.EpochSource.NEW_LOG)
 
     return find
 
 
 def end_taken_for_whole(before):
-    def settle_end(self):
-        self.tail = 0
+    def repair_end(self):
+        self.tail_bytes = 0
         return True
 
-    return settle_end
+    return repair_end
 
 
 # name -> (where it is put, the attribute, what makes the wrong one of the right one), or several such for one mistake
 MUTATIONS = {
     "log written on behind a torn record": (
-        (Store, "settle_end", end_taken_for_whole),
-        (store, "next_record", lambda before: lambda data, start: len(data)),
+        (Store, "repair_end", end_taken_for_whole),
+        (store, "find_next_record", lambda before: lambda data, start: len(data)),
     ),
-    "log's times are wall time": (log_clock, "find", wall_time),
+    "log's times are wall time": (log_clock, "find_clock", wall_time),
     "accept goes on without a wait": (clients.Clients, "accept", accepts_without_a_wait),
     "a start opens its log once": (
         startup.Start,
@@ -269,8 +269,8 @@
     ),
     "key's rest forgotten after a restart": (
         Core,
-        "_hand_over",
-        lambda before: lambda self, c: (self.rests.clear(), before(self, c))[1],
+        "_offer_to_module",
+        lambda before: lambda self, c: (self.cooldowns.clear(), before(self, c))[1],
     ),
     "reset counts as never run": (
         interface.Result,
@@ -298,8 +298,8 @@
         )[0],
     ),
     "ids with other contents taken for the same": (
-        ev.Fresh,
-        "contents",
+        ev.Submission,
+        "digest",
         lambda before: lambda self: b"same",
     ),
     "time not counted over a standstill": (clients, "STOOD_MOST", lambda before: 0),
@@ -308,13 +308,17 @@
         "_wake",
         lambda before: lambda self: None,
     ),
-    "launch logged while its connection comes up": (Core, "_go", logged_as_asked_for),
-    "what a restart finds taken for new": (Core, "_hand_over", taken_for_new),
+    "launch logged while its connection comes up": (Core, "_start_call", logged_as_asked_for),
+    "what a restart finds taken for new": (Core, "_offer_to_module", taken_for_new),
     "notice right behind its call": (FinalNotices, "not_before", lambda before: lambda *_: 0),
-    "calls of a killed process forgotten": (FinalNotices, "recovered", lambda before: lambda *_: 0),
+    "calls of a killed process forgotten": (
+        FinalNotices,
+        "delay_after_recovery",
+        lambda before: lambda *_: 0,
+    ),
     "told list dies with the process": (
-        (host_list.ToldList, "load", lambda before: lambda self, record: None),
-        (Core, "LIST_WITHIN", lambda before: 0),
+        (host_list.ReceivedList, "load", lambda before: lambda self, record: None),
+        (Core, "LIST_TIMEOUT", lambda before: 0),
     ),
     "ends told while the log fails": (
         Engine,
--- a/molehill/emulator/recount.py
+++ b/molehill/emulator/recount.py
@@ -7,7 +7,7 @@
 from collections import Counter, defaultdict, deque
 
 from molehill.config import MS
-from molehill.core.figures import DELIVERED, FAULTED, THROTTLED
+from molehill.core.metrics import DELIVERED, FAULTED, THROTTLED
 from molehill.emulator.referee import CROSSING
 from molehill.emulator.scenario import FAULTS, directions
 
@@ -122,7 +122,9 @@
         if relay in self.beyond:
             return {}
         said = {
-            (end, one): count for one, row in figures.ends.items() for end, count in row.items()
+            (end, one): count
+            for one, row in figures.end_counts.items()
+            for end, count in row.items()
         }
         pairs = {
             f"{end}.{one}": (count, self.counts[relay][end, one])
--- a/molehill/emulator/run.py
+++ b/molehill/emulator/run.py
@@ -317,7 +317,7 @@
                 self.referee.close(
                     {name: node.sizes() for name, node in up.items()},
                     {
-                        name: self.recount.untrue(name, node.process.core.figures)
+                        name: self.recount.untrue(name, node.process.core.metrics)
                         for name, node in up.items()
                     },
                 )
--- a/molehill/http/answers.py
+++ b/molehill/http/answers.py
@@ -13,14 +13,16 @@
 LONGEST_WAIT = 3600 * SECOND
 # status -> outcome of a call of one; 200 in a call of several is read line by line
 STATUS = {
-    200: ev.End("", Result.DELIVERED, closed=True),
-    500: ev.End("", Result.ERROR),
-    429: ev.End("", Result.REFUSED),
-    503: ev.End("", Result.REFUSED),
-    400: ev.End("", Result.REFUSED),
-    413: ev.End("", Result.REFUSED),
-    410: ev.End("", Result.NOT_SENT, closed=True, why=Refusal.HOST_SAYS_OVER),
-    504: ev.End("", Result.NOT_SENT, spent=True, why=Refusal.HOST_SAYS_SPENT),
+    200: ev.AttemptOutcome("", Result.DELIVERED, completed=True),
+    500: ev.AttemptOutcome("", Result.ERROR),
+    429: ev.AttemptOutcome("", Result.REFUSED),
+    503: ev.AttemptOutcome("", Result.REFUSED),
+    400: ev.AttemptOutcome("", Result.REFUSED),
+    413: ev.AttemptOutcome("", Result.REFUSED),
+    410: ev.AttemptOutcome("", Result.NOT_SENT, completed=True, reason=Refusal.HOST_SAYS_OVER),
+    504: ev.AttemptOutcome(
+        "", Result.NOT_SENT, attempts_exhausted=True, reason=Refusal.HOST_SAYS_SPENT
+    ),
 }
 LINES = {
     "delivered": STATUS[200],
@@ -32,12 +34,14 @@
 REPORT = re.compile(
     r"\w+=\d+(\.\d+)?([eE][+-]?\d+)?( *, *\w+=\d+(\.\d+)?([eE][+-]?\d+)?)*", re.ASCII
 )
-NO_ROOM = ev.End("", Result.NO_CONNECT)
-LINE_BUSY = ev.End("", Result.NOT_SENT, why=Refusal.LINE_BUSY)
-OTHER = ev.End("", Result.ERROR)  # an answer that the protocol does not know: it may have run
+NO_ROOM = ev.AttemptOutcome("", Result.NO_CONNECT)
+LINE_BUSY = ev.AttemptOutcome("", Result.NOT_SENT, reason=Refusal.LINE_BUSY)
+OTHER = ev.AttemptOutcome(
+    "", Result.ERROR
+)  # an answer that the protocol does not know: it may have run
 
 
-def outcome(head, fresh: bool) -> ev.End:
+def outcome(head, fresh: bool) -> ev.AttemptOutcome:
     """Of a call of one, or of several that fare alike. `fresh`: the call was the first on its connection."""
     if head.status != 503:
         return STATUS.get(head.status, OTHER)
@@ -50,7 +54,7 @@
     return STATUS[503]
 
 
-def outcomes_by_line(members, body: bytes, wait: int) -> list[ev.End]:
+def outcomes_by_line(members, body: bytes, wait: int) -> list[ev.AttemptOutcome]:
     """Each callback's end by the answer's lines; one that no line names may have run. `wait`: told with the answer, in ns."""
     told = {}
     for line in body.decode("latin-1").splitlines():
@@ -58,10 +62,12 @@
         told[ident.strip()] = LINES.get(word, OTHER)
     ends = []
     for member in members:
-        end = told.get(member.id, ev.End("", Result.RESET))
-        ends.append(replace(end, id=member.id, wait=wait if end.result is Result.REFUSED else 0))
-    if wait and not any(end.wait for end in ends):
-        ends[0].wait = wait  # the wait binds whatever became of each
+        end = told.get(member.id, ev.AttemptOutcome("", Result.RESET))
+        ends.append(
+            replace(end, id=member.id, retry_after=wait if end.result is Result.REFUSED else 0)
+        )
+    if wait and not any(end.retry_after for end in ends):
+        ends[0].retry_after = wait  # the wait binds whatever became of each
     return ends
 
 
--- a/molehill/http/clients.py
+++ b/molehill/http/clients.py
@@ -326,18 +326,18 @@
             self.turned_away(head.headers.get("req-kind", ""))
             return 503, (), b""
         fresh = hand_in.fresh(head.headers, body, self.config, self.clock())
-        fresh.due -= self.unread_for(conn)
+        fresh.deadline -= self.unread_for(conn)
         conn.ask, conn.reply = fresh.id, None
         self.trace.record(
-            Step.HANDED_IN, fresh.id, connection=conn.number, left=fresh.due - self.clock()
+            Step.HANDED_IN, fresh.id, connection=conn.number, left=fresh.deadline - self.clock()
         )
-        self.post(ev.Arrived(conn, fresh))
+        self.post(ev.Submitted(conn, fresh))
         until = self.clock() + ANSWER_WITHIN
         while conn.reply is None:
             # danger: the answer may have come in the same turn, and what it took on must not be withdrawn
             if self.scheduler.wait(until=until) == LATE and conn.reply is None:
                 # Withdrawn, it has surely not run. Danger: closed without an answer, it is lost to its client.
-                self.post(ev.Unheard(fresh.id, conn))
+                self.post(ev.AnswerNotWritten(fresh.id, conn))
                 conn.reply = conn.reply or (503, 0, "not answered")
         status, wait, why = conn.reply
         self.counts[why or status] += 1
@@ -359,7 +359,7 @@
     def answer(self, effect) -> None:
         """The core's answer to a request."""
         conn = effect.client
-        conn.reply = (effect.status, effect.wait, effect.why)
+        conn.reply = (effect.status, effect.retry_after, effect.reason)
         self.scheduler.resume(conn.task)
 
     def tell(self, conn, data) -> None:
@@ -373,11 +373,11 @@
             if told:
                 self.counts["gone"] += 1
                 self.trace.record(Step.WITHDRAWN, ask, connection=conn.number)
-                self.post(ev.Unheard(ask, conn))
+                self.post(ev.AnswerNotWritten(ask, conn))
             raise
         self.trace.record(Step.ANSWER_WRITTEN, ask, connection=conn.number, status=conn.reply[0])
         if told:
-            self.post(ev.Heard(ask, conn))
+            self.post(ev.AnswerWritten(ask, conn))
 
     # An upgrade: the connections pass to the next process
 
--- a/molehill/http/discovery.py
+++ b/molehill/http/discovery.py
@@ -7,7 +7,7 @@
 from molehill import interface
 from molehill.config import MS, SECOND, ConfigError, address
 from molehill.core import events as ev
-from molehill.core.host_list import restored
+from molehill.core.host_list import restore_host_list
 from molehill.http import parser as http
 from molehill.http.stream import HttpStream
 from molehill.invariants import check_invariant
@@ -86,7 +86,7 @@
         "status": status,
         "type": name_of[0].get(host.kind),
         "group": host.destination,
-        "weight": host.units,
+        "weight": host.weight,
     }
 
 
@@ -115,13 +115,15 @@
         self.answered = known is not None
         try:
             if known is None:
-                entries, version = restored(self.told, self.config.known, self.source())
+                entries, version = restore_host_list(self.told, self.config.known, self.source())
                 known = {"endpoints": entries, "index": version or 0}
             listed_version, _, hosts = read_list(known, self.config)
             self.version = listed_version if version is not None else None
         except ValueError as error:
             check_invariant(False, "list_at_the_start", error=str(error))
-        self.post(ev.Listed(interface.ListScope.RESTORED, hosts, self.version, self.source()))
+        self.post(
+            ev.HostListReceived(interface.ListScope.RESTORED, hosts, self.version, self.source())
+        )
 
     def source(self) -> str:
         return "%s:%d" % self.config.discovery
@@ -151,7 +153,7 @@
         finally:
             self.line.close()
             self.watching = False
-            self.post(ev.Listed(interface.ListScope.FAILED))
+            self.post(ev.HostListReceived(interface.ListScope.FAILED))
 
     def _follow(self) -> None:
         began, before, patience, again = self.clock(), self.version, WHOLE_WITHIN, True
@@ -174,7 +176,7 @@
         self.version = version if whole or version >= (before or 0) else None
         if whole or hosts or first:
             scope = interface.ListScope.WHOLE if whole else interface.ListScope.UPDATE
-            self.post(ev.Listed(scope, hosts, version, source))
+            self.post(ev.HostListReceived(scope, hosts, version, source))
         if version == before and self.clock() - began < PAUSE:
             self.scheduler.sleep(began + PAUSE)
 
--- a/molehill/http/given_up.py
+++ b/molehill/http/given_up.py
@@ -17,7 +17,7 @@
     """The connections of given-up calls, by the call's number, the oldest first."""
 
     def __init__(self, scheduler, post, most: int):
-        """`post` takes an `ev.HostDone` for each call that was kept; `most`: connections at once."""
+        """`post` takes an `ev.HostFinishedReading` for each call that was kept; `most`: connections at once."""
         self.scheduler, self.post, self.most = scheduler, post, most
         self.streams: dict[int, HttpStream] = {}
         self.trace = NO_TRACE
@@ -47,7 +47,7 @@
         if seen:
             for ident in ids:
                 self.trace.record(Step.HOST_ENDED_CONNECTION, ident, call=number)
-        self.post(ev.HostDone(number, seen))
+        self.post(ev.HostFinishedReading(number, seen))
 
     def close_oldest(self) -> bool:
         """Makes room for another connection; whether there was one to close."""
--- a/molehill/http/hand_in.py
+++ b/molehill/http/hand_in.py
@@ -11,7 +11,7 @@
 NUMBER_DIGITS = 15
 
 
-def fresh(headers: dict[str, str], body: bytes, config, now: int) -> ev.Fresh:
+def fresh(headers: dict[str, str], body: bytes, config, now: int) -> ev.Submission:
     """The callback that a request hands in at `now`, in nanoseconds; raises Malformed with what is wrong."""
     ident, kind = headers.get("req-id", ""), headers.get("req-kind", "")
     if not ident or not plain(ident):
@@ -27,7 +27,7 @@
         if text is not None and not plain(text):
             raise http.Malformed(400, "a key that is too long or not printable")
     tenant = config.tenants.get(headers.get("req-owner", ""), 0)
-    return ev.Fresh(ident, category, tenant, key or None, destination, now + span, mark, body)
+    return ev.Submission(ident, category, tenant, key or None, destination, now + span, mark, body)
 
 
 def destination_of(headers: dict[str, str]) -> int:
--- a/molehill/http/hosts.py
+++ b/molehill/http/hosts.py
@@ -78,7 +78,12 @@
         self.given_up.close_all()
         for number, running in self.running.items():
             stream, call = self.streams.get(number), running.call
-            if not running.written or not stream.open or not call.members or number in self.aborted:
+            if (
+                not running.written
+                or not stream.open
+                or not call.callbacks
+                or number in self.aborted
+            ):
                 if stream is not None:
                     stream.close()
                 continue
@@ -90,16 +95,16 @@
                         "n": number,
                         "host": call.host,
                         "at": "%s:%d" % call.address,
-                        "bundle": call.bundle,
+                        "bundle": call.is_bundle,
                         "start": running.start,
-                        "members": [[m.id, m.until] for m in call.members],
+                        "members": [[m.id, m.deadline] for m in call.callbacks],
                     },
                     data,
                     sock,
                 )
             )
             # its task here has nothing more to tell of it
-            self.lent[number], call.members = replace(call), []
+            self.lent[number], call.callbacks = replace(call), []
         return rows + self.idle.hand_over()
 
     def go_on(self, rows) -> None:
@@ -108,7 +113,9 @@
         for message, data, sock in rows:
             call = lent.get(message["n"]) if message["k"] == "call" else None
             if not self.adopt(message, data, sock, call) and call is not None:
-                self._end(call, message["start"], call.members, ev.End("", Result.RESET))
+                self._end(
+                    call, message["start"], call.callbacks, ev.AttemptOutcome("", Result.RESET)
+                )
 
     def adopt(self, message, data, sock, call=None) -> bool:
         """A connection that an earlier process gave, or that comes back with its call; whether it can be used. Raises ValueError
@@ -119,7 +126,10 @@
                 message["host"],
                 address(message["at"], "at"),
                 message["bundle"],
-                [ev.Member(number, None, b"", until) for number, until in message["members"]],
+                [
+                    ev.OutgoingCallback(number, None, b"", until)
+                    for number, until in message["members"]
+                ],
             )
         if not self.budget.take("host", OUTGOING):
             sock.close()
@@ -164,13 +174,15 @@
             if stream is not None and not kept:
                 stream.close()
             # a fault of this code: nothing is known, so each may have run
-            if call.members:
-                self._end(call, start, call.members, ev.End("", Result.RESET))
+            if call.callbacks:
+                self._end(call, start, call.callbacks, ev.AttemptOutcome("", Result.RESET))
             del self.running[call.number]
             self.aborted.discard(call.number)
 
     def _end(self, call, start, members, end, told=(0.0, None), wait=0, came=None) -> None:
-        self._report(call, start, [replace(end, id=m.id, wait=wait) for m in members], told, came)
+        self._report(
+            call, start, [replace(end, id=m.id, retry_after=wait) for m in members], told, came
+        )
 
     def _report(self, call, start, ends, told=(0.0, None), came=None) -> None:
         """What became of these; `came`: when the answer's head did, which is what its latency goes by."""
@@ -178,13 +190,13 @@
         if self.trace.is_on:
             self._trace_ended(call, ends)
         self.counts.update(end.result.value for end in ends)
-        call.members = [m for m in call.members if m.id not in ended]
+        call.callbacks = [m for m in call.callbacks if m.id not in ended]
         if ends and call.number not in self.aborted:
             took = (came or self.clock()) - start
             running = self.running[call.number]
             rate, left = told
             self.post(
-                ev.Ended(
+                ev.CallEnded(
                     call.number, took, ends, rate, left, running.written_at, running.unread_until
                 )
             )
@@ -215,7 +227,7 @@
                     stream.close()
                     return None
                 # in the log before its first byte; where that fails, the call is aborted
-                self.post(ev.Begun(call.number))
+                self.post(ev.CallConnected(call.number))
                 # Danger: the log was written anew or its disk was slow, and the call's time is up.
                 if not self._may_go(call, start):
                     stream.close()
@@ -223,13 +235,13 @@
                 begun = self.clock()
                 stream.send(self._request(call), until)
                 running.written_at = self.clock()
-                self.figures.relayed += len(call.members)
+                self.figures.relayed += len(call.callbacks)
                 if self.trace.is_on:
                     self._trace_written(call, fresh, until)
                 # More than the last answer, if no answer to this can have come. Danger: after a standstill in between, one can.
                 if not fresh and stream.unread() and self.clock() < begun + SOONEST:
                     stream.close()
-                    self._end(call, start, call.members, ev.End("", Result.RESET))
+                    self._end(call, start, call.callbacks, ev.AttemptOutcome("", Result.RESET))
                     return None
                 return stream
             except Short as error:  # this relay's own trouble: it tells nothing of the host
@@ -240,14 +252,14 @@
                     # Danger: asked for anew as fast as it fails, it takes the whole core.
                     why = Refusal.LOCAL_ERROR
                     self.scheduler.sleep(min(until, self.clock() + LOCAL_ERROR_REST))
-                self._end(call, start, call.members, kept_back(why))
+                self._end(call, start, call.callbacks, kept_back(why))
                 return None
             except (Broken, Late) as error:
                 if stream is not None:
                     stream.close()  # before the last byte: it never ran
                 if fresh or isinstance(error, Late):
                     break  # else a kept connection broke: once more on a new one
-        self._end(call, start, call.members, ev.End("", Result.NO_CONNECT))
+        self._end(call, start, call.callbacks, ev.AttemptOutcome("", Result.NO_CONNECT))
         return None
 
     def _trace_ended(self, call, ends) -> None:
@@ -258,12 +270,12 @@
                 call=call.number,
                 host=call.host,
                 result=end.result.value,
-                why=end.why.name.lower() if end.why is not None else None,
+                why=end.reason.name.lower() if end.reason is not None else None,
             )
 
     def _trace_written(self, call, fresh: bool, until: int) -> None:
         left = until - self.clock()
-        for member in call.members:
+        for member in call.callbacks:
             self.trace.record(
                 Step.CALL_WRITTEN,
                 member.id,
@@ -279,7 +291,7 @@
         Danger: a connection comes up in the very turn in which the call's time is up, and it is sent on after its end."""
         refusal = self._refusal(call)
         if refusal is not None:
-            self._end(call, start, call.members, kept_back(refusal))
+            self._end(call, start, call.callbacks, kept_back(refusal))
         return refusal is None
 
     def _refusal(self, call) -> Optional[Refusal]:
@@ -296,15 +308,17 @@
         now, host = self.clock(), "%s:%d" % call.address
         wait = max(1, -(-(ends(call) - now) // MS))  # up: never less than what is really waited
         headers = [("Req-Deadline-Ms", str(wait))]
-        if not call.bundle:
-            member = call.members[0]
+        if not call.is_bundle:
+            member = call.callbacks[0]
             headers.insert(0, ("Req-Id", member.id))
-            if member.mark is not None:
-                headers.append(("Idempotency-Key", member.mark))
+            if member.idempotency_key is not None:
+                headers.append(("Idempotency-Key", member.idempotency_key))
             return http.request("POST", "/events", host, headers, member.body)
         body = b"".join(
-            f"{m.id} {m.mark or '-'} {len(m.body)}\r\n".encode("latin-1") + m.body + b"\r\n"
-            for m in call.members
+            f"{m.id} {m.idempotency_key or '-'} {len(m.body)}\r\n".encode("latin-1")
+            + m.body
+            + b"\r\n"
+            for m in call.callbacks
         )
         return http.request("POST", "/events/bundle", host, headers, body)
 
@@ -317,22 +331,22 @@
         until, came, settled, end = ends(call), None, False, None
         try:
             head, came = stream.answer(until), self.clock()
-            settled = not call.bundle and head.status in (200, 500)
+            settled = not call.is_bundle and head.status in (200, 500)
             body = stream.body(head, min(until, came + REST_WITHIN) if settled else until)
         except (Broken, Late, http.Malformed) as error:
             seen = stream.parser.line or stream.buffer.peek(64)
             if isinstance(error, Late) and not settled:
-                end = ev.End("", Result.TIMEOUT)
-            elif not call.bundle and seen.startswith(b"HTTP/1.1 200 ") and b"\r\n" in seen:
+                end = ev.AttemptOutcome("", Result.TIMEOUT)
+            elif not call.is_bundle and seen.startswith(b"HTTP/1.1 200 ") and b"\r\n" in seen:
                 end = answers.STATUS[200]
             else:
-                end = answers.STATUS[500] if settled else ev.End("", Result.RESET)
+                end = answers.STATUS[500] if settled else ev.AttemptOutcome("", Result.RESET)
         # Danger: an answer that comes once the call's time is up is no delivery, whatever it says: the host has given the call up
         # by then, as this relay told it to. What is read too late, since this relay stood still, may be such a one, and it
         # tells nothing of the host.
         known_at = came if settled and came is not None else self.clock()
         if (end is None or end.result is not Result.TIMEOUT) and known_at > until:
-            end = ev.End("", Result.CANCELLED)
+            end = ev.AttemptOutcome("", Result.CANCELLED)
         if end is not None:
             return self._useless(
                 call, stream, start, end, came if end.result is not Result.TIMEOUT else None
@@ -344,12 +358,12 @@
             stream.close()
         told = answers.told_limit(head, self.config.settings.limits_are_advertised)
         wait = answers.retry_after(head)
-        if call.bundle and head.status == 200:
-            ended = answers.outcomes_by_line(call.members, body, wait)
+        if call.is_bundle and head.status == 200:
+            ended = answers.outcomes_by_line(call.callbacks, body, wait)
             self._report(call, start, ended, told, came)
             return
         end = answers.outcome(head, self.running[call.number].fresh)
-        self._end(call, start, call.members, end, told, wait, came)
+        self._end(call, start, call.callbacks, end, told, wait, came)
 
     def _useless(self, call, stream, start, end, came) -> None:
         """No answer to it comes on that connection any more that would be worth having: nor may it carry another call."""
@@ -357,7 +371,7 @@
             self._give_up(call, stream)
         else:
             stream.close()
-        self._end(call, start, call.members, end, came=came)
+        self._end(call, start, call.callbacks, end, came=came)
 
     def _give_up(self, call, stream) -> None:
         """Ends the sending of a call with no byte of an answer. Its host may read it later; how much later is bounded as for a
@@ -368,14 +382,14 @@
             stream.close()
             return
         running.unread_until, running.given_up = until, True
-        self.given_up.keep(call.number, [member.id for member in call.members], stream, until)
+        self.given_up.keep(call.number, [member.id for member in call.callbacks], stream, until)
 
 
-def kept_back(why: Refusal) -> ev.End:
+def kept_back(why: Refusal) -> ev.AttemptOutcome:
     """The end of a callback that never left this relay."""
-    return ev.End("", Result.NOT_SENT, unsent=True, why=why)
+    return ev.AttemptOutcome("", Result.NOT_SENT, unsent=True, reason=why)
 
 
 def ends(call) -> int:
     """When a call is given up: as soon as one of its members' time is up. It is one call, to the host as well, and has one time."""
-    return min(member.until for member in call.members)
+    return min(member.deadline for member in call.callbacks)
--- a/molehill/http/notices.py
+++ b/molehill/http/notices.py
@@ -122,7 +122,7 @@
             for notice in batch:
                 self.waiting.pop(notice.id, None)
                 self.trace.record(Step.NOTICE_ANSWERED, notice.id)
-            self.post(ev.Noticed([notice.id for notice in batch]))
+            self.post(ev.NoticesDelivered([notice.id for notice in batch]))
         self.task = None
 
     def _post(self, batch, until) -> None:
@@ -131,16 +131,16 @@
         stream = self.line.get(until)
         rows = []
         for notice in batch:
-            row = {"ref": notice.id, "result": "bounced" if notice.denied else "dead"}
-            if notice.denied and notice.wait:
-                row["wait_ms"] = -(-notice.wait // MS)
+            row = {"ref": notice.id, "result": "bounced" if notice.rejected else "dead"}
+            if notice.rejected and notice.retry_after:
+                row["wait_ms"] = -(-notice.retry_after // MS)
             rows.append(json.dumps(row, separators=(",", ":")) + "\n")
         data = http.request(
             "POST", "/v2/finals", "%s:%d" % self.config.discovery, (), "".join(rows).encode()
         )
         stream.send(data, until)
         for notice in batch:
-            self.trace.record(Step.NOTICE_WRITTEN, notice.id, denied=notice.denied)
+            self.trace.record(Step.NOTICE_WRITTEN, notice.id, denied=notice.rejected)
         head = stream.answer(until)
         if head.status != 204:
             raise Declined(f"status {head.status}")
--- a/molehill/log_clock.py
+++ b/molehill/log_clock.py
@@ -14,26 +14,26 @@
 from enum import Enum
 from typing import Iterable
 
-KIND = "clock"
+RECORD_KIND = "clock"
 # kind of record -> its keys that hold times of the log's clock
-TIMES = {
+TIME_KEYS = {
     "taken": ("due", "ran_at"),
     "launch": ("at",),
     "end": ("at",),
     "rest": ("until",),
     "health": ("at",),
 }
-SEEN = "at"  # key of records that tell when they were written
-SEEN_IN_LINE = re.compile(rb'"at":(\d{1,20})\b')
-CLOCK_LINE = b'{"k":"clock"'
+WRITTEN_AT_KEY = "at"  # key of records that tell when they were written
+WRITTEN_AT_PATTERN = re.compile(rb'"at":(\d{1,20})\b')
+CLOCK_LINE_PREFIX = b'{"k":"clock"'
 # ns by which the latest time in the log may lie ahead of a clock that is believed
-STEP_MOST = 1_000_000_000
+MAX_CLOCK_STEP = 1_000_000_000
 
 
-class Base(Enum):
+class EpochSource(Enum):
     """Where the epoch came from."""
 
-    FIRST = "nothing was logged yet"
+    NEW_LOG = "nothing was logged yet"
     SAME_BOOT = "the log's own clock"
     REBOOTED = "wall clock: the machine was booted anew"
     UNKNOWN = "wall clock: the log tells of no usable clock"
@@ -41,33 +41,33 @@
 
 @dataclass(frozen=True, slots=True)
 class LogClock:
-    """`epoch`: nanoseconds to add to the monotonic clock; `base`: how it was found."""
+    """`epoch`: nanoseconds to add to the monotonic clock; `source`: how it was found."""
 
     epoch: int
-    base: Base
+    source: EpochSource
 
-    def record(self, machine) -> dict:
+    def as_record(self, machine) -> dict:
         """What later processes find it by."""
         return {
-            "k": KIND,
+            "k": RECORD_KIND,
             "boot": machine.boot_id,
             "epoch": self.epoch,
-            SEEN: machine.clock() + self.epoch,
+            WRITTEN_AT_KEY: machine.clock() + self.epoch,
         }
 
     def to_log(self, record: dict) -> dict:
         """A record of the core, with its times as the log holds them."""
-        return shifted(record, self.epoch)
+        return shift_times(record, self.epoch)
 
     def from_log(self, record: dict) -> dict:
         """The reverse of `to_log`."""
-        return shifted(record, -self.epoch)
+        return shift_times(record, -self.epoch)
 
 
-def shifted(record: dict, by: int) -> dict:
+def shift_times(record: dict, offset: int) -> dict:
     """The record with its times moved; absent and null ones stay."""
-    keys = TIMES.get(record["k"], ())
-    moved = {key: record[key] + by for key in keys if record.get(key) is not None}
+    keys = TIME_KEYS.get(record["k"], ())
+    moved = {key: record[key] + offset for key in keys if record.get(key) is not None}
     return {**record, **moved} if moved else record
 
 
@@ -75,35 +75,35 @@
     return isinstance(value, int) and not isinstance(value, bool)
 
 
-def find(lines: Iterable[bytes], machine) -> LogClock:
+def find_clock(lines: Iterable[bytes], machine) -> LogClock:
     """The clock of the log whose records these are, as lines of JSON."""
-    told, latest, empty = None, None, True
+    clock_record, latest, is_empty = None, None, True
     for line in lines:
-        empty = False
-        seen = SEEN_IN_LINE.search(line)
-        if seen is not None:
-            latest = max(int(seen[1]), latest or 0)
-        if line.startswith(CLOCK_LINE):
-            told = json.loads(line)
+        is_empty = False
+        written_at = WRITTEN_AT_PATTERN.search(line)
+        if written_at is not None:
+            latest = max(int(written_at[1]), latest or 0)
+        if line.startswith(CLOCK_LINE_PREFIX):
+            clock_record = json.loads(line)
     now, wall = machine.clock(), machine.wall()
-    if told is None:
+    if clock_record is None:
         epoch = wall - now if latest is None else max(wall, latest) - now
-        return LogClock(epoch, Base.FIRST if empty else Base.UNKNOWN)
-    if not is_whole(told):
-        return LogClock(wall - now, Base.UNKNOWN)
-    if told["boot"] != machine.boot_id:
-        return LogClock(max(wall, latest) - now, Base.REBOOTED)
-    if latest > told["epoch"] + now + STEP_MOST:
-        return LogClock(wall - now, Base.UNKNOWN)
-    return LogClock(told["epoch"], Base.SAME_BOOT)
+        return LogClock(epoch, EpochSource.NEW_LOG if is_empty else EpochSource.UNKNOWN)
+    if not is_complete(clock_record):
+        return LogClock(wall - now, EpochSource.UNKNOWN)
+    if clock_record["boot"] != machine.boot_id:
+        return LogClock(max(wall, latest) - now, EpochSource.REBOOTED)
+    if latest > clock_record["epoch"] + now + MAX_CLOCK_STEP:
+        return LogClock(wall - now, EpochSource.UNKNOWN)
+    return LogClock(clock_record["epoch"], EpochSource.SAME_BOOT)
 
 
-def is_whole(record: dict) -> bool:
+def is_complete(record: dict) -> bool:
     """Whether a `clock` record has what it is to have."""
     boot = record.get("boot")
     return (
         isinstance(boot, str)
         and boot != ""
         and is_time(record.get("epoch"))
-        and is_time(record.get(SEEN))
+        and is_time(record.get(WRITTEN_AT_KEY))
     )
--- a/molehill/relay.py
+++ b/molehill/relay.py
@@ -15,7 +15,7 @@
 from molehill.http.discovery import Discovery
 from molehill.http.hosts import Hosts
 from molehill.http.notices import Notices
-from molehill.log_clock import Base
+from molehill.log_clock import EpochSource
 from molehill.runtime.engine import Engine
 from molehill.runtime.scheduler import READ
 from molehill.runtime.stream import Budget
@@ -58,35 +58,38 @@
         )
         count = self.store.replay(
             lambda record, body: self.core.load(log_clock.from_log(record), body),
-            self.core.load_spoilt,
+            self.core.load_corrupt,
         )
         spoilt = (
-            self.store.cut or self.store.odd or self.store.spoilt or log_clock.base is Base.UNKNOWN
+            self.store.truncated_bytes
+            or self.store.unusable_records
+            or self.store.corrupt_chunks
+            or log_clock.source is EpochSource.UNKNOWN
         )
         say = self.log.warning if spoilt else self.log.info
         say(
             "log read",
             records=count,
-            held=len(self.core.held),
-            cut=self.store.cut,
-            odd=self.store.odd,
-            spoilt=self.store.spoilt,
-            time_base=log_clock.base.value,
+            held=len(self.core.callbacks),
+            cut=self.store.truncated_bytes,
+            odd=self.store.unusable_records,
+            spoilt=self.store.corrupt_chunks,
+            time_base=log_clock.source.value,
         )
         self.engine = engine = Engine(
             self.scheduler, self.core, self.store, self.log, config.period, log_clock
         )
         self.clients = engine.clients = Clients(self.scheduler, config, budget, engine.post)
         self.hosts = engine.hosts = Hosts(
-            self.scheduler, config, budget, engine.post, self.core.refusal, self.core.figures
+            self.scheduler, config, budget, engine.post, self.core.refusal, self.core.metrics
         )
         self.notices = engine.notices = Notices(self.scheduler, config, budget, engine.post)
-        self.clients.turned_away = self.core.turned_away
+        self.clients.turned_away = self.core.count_rejected
         trace = self.open_trace()
         engine.trace = self.clients.trace = self.hosts.trace = self.notices.trace = trace
         self.hosts.given_up.trace = trace
         self.discovery = engine.discovery = Discovery(
-            self.scheduler, config, budget, engine.post, self.core.told
+            self.scheduler, config, budget, engine.post, self.core.received_list
         )
         self.membership = None
         if config.fleet is not None:
@@ -120,7 +123,7 @@
             self.membership.begin()
             if self.start.admin is not None:
                 self.start.admin.pages["/fleet"] = lambda: (200, self.membership.view())
-        self.engine.post(ev.Begin())
+        self.engine.post(ev.Start())
         self.engine.keep_flushing(self.sink)
         self.engine.keep_counting()
         self.clients.begin(**unread)
@@ -152,7 +155,10 @@
         if not self.given:
             self.store.close()
         self.log.info(
-            "ended", held=len(self.core.held), out=self.hosts.out, broken=invariants.breach_counts
+            "ended",
+            held=len(self.core.callbacks),
+            out=self.hosts.out,
+            broken=invariants.breach_counts,
         )
         self.sink.flush()
 
@@ -177,10 +183,10 @@
         try:
             new = self.load_again(self.config)
         except configuration.ConfigError as error:
-            self.core.figures.cfg_invalid += 1
+            self.core.metrics.cfg_invalid += 1
             self.log.error("configuration not taken", error=str(error))
             return
-        self.core.figures.cfg_accepted += 1
+        self.core.metrics.cfg_accepted += 1
         self.log.info(
             "configuration taken",
             discovery="%s:%d" % new.discovery,
@@ -207,8 +213,8 @@
     def retune(self, new) -> None:
         names = list(new.categories)
         configuration.retake(self.config, new)
-        self.engine.post(ev.Retuned(self.config.settings, names))
-        self.config.settings, self.config.categories = self.core.set, self.core.classes.current
+        self.engine.post(ev.SettingsChanged(self.config.settings, names))
+        self.config.settings, self.config.categories = self.core.settings, self.core.classes.numbers
         if self.membership is not None and new.fleet is not None:
             self.membership.retake(new.fleet)
 
@@ -227,14 +233,14 @@
         self.take(new)
 
     def figures(self) -> str:
-        return self.core.figures.text() + (self.membership.figures() if self.membership else "")
+        return self.core.metrics.render() + (self.membership.figures() if self.membership else "")
 
     def can_serve(self) -> bool:
         return self.clients.can_serve() and not self.given
 
     def hold(self) -> None:
         """Finishes what has begun, and begins nothing."""
-        self.engine.post(ev.Hold(True))
+        self.engine.post(ev.PauseCalls(True))
         self.clients.hold()
 
     def calm(self) -> bool:
@@ -256,7 +262,7 @@
         self.engine.thaw()
         if self.membership is not None:
             self.membership.begin()
-        self.engine.post(ev.Hold(False))
+        self.engine.post(ev.PauseCalls(False))
         self.clients.go_on(
             [row for row in rows if row[0]["k"] == "client"], self.scheduler.clock() - began
         )
@@ -268,6 +274,6 @@
         self.scheduler.machine.close(self.lock)
         self.clients.close_listener()
         self.discovery.line.close()
-        self.core.figures.open_requests = 0
+        self.core.metrics.open_requests = 0
         if self.shutdown.state is not SERVING:
             self.shutdown.move(ENDED)
--- a/molehill/runtime/engine.py
+++ b/molehill/runtime/engine.py
@@ -52,7 +52,7 @@
         self.post(ev.Step())
 
     def keep_small(self) -> None:
-        if self.store.wants_rewrite():
+        if self.store.needs_rewrite():
             self.rewrite()
 
     REWRITE_AGAIN = 100 * MS  # a failed rewrite costs as much as one that succeeds
@@ -61,7 +61,7 @@
         """Has the log written anew with what is owed now, unless that failed a moment ago; whether it was."""
         if self.clock() < self.rewrite_at:
             return False
-        rows = [(self.log_clock.record(self.scheduler.machine), b"")]
+        rows = [(self.log_clock.as_record(self.scheduler.machine), b"")]
         rows += [(self.log_clock.to_log(record), body) for record, body in self.core.snapshot()]
         if not self.store.rewrite(rows):
             if not self.rewrite_at:
@@ -100,20 +100,20 @@
 
     def carry_out(self, effect, kind) -> None:
         if kind is ev.Answer:
-            self.trace.record(Step.ANSWERED, effect.id, status=effect.status, why=effect.why)
+            self.trace.record(Step.ANSWERED, effect.id, status=effect.status, why=effect.reason)
             self.clients.answer(effect)
         elif kind is ev.Call:
             self.hosts.call(effect)
         elif kind is ev.Notify:
             self.trace.record(
-                Step.ENDED, effect.id, denied=effect.denied, not_before=effect.not_before
+                Step.ENDED, effect.id, denied=effect.rejected, not_before=effect.not_before
             )
             self.notify(effect)
         elif kind is ev.CloseIdle:
             self.hosts.close_idle(effect.host)
         elif kind is ev.Abort:
             self.hosts.abort(effect.call)
-        elif kind is ev.Watch:
+        elif kind is ev.WatchHostList:
             self.discovery.watch()
         elif kind is ev.NotSent:
             self.log_not_sent(effect)
@@ -123,18 +123,18 @@
     def notify(self, effect) -> None:
         """Danger: an end that the log did not take is forgotten by a kill, and the next process tries what had its end. So it is told
         once the log has it, or once its time is up, as nothing is tried behind that."""
-        if self.clock() < effect.due and any(
+        if self.clock() < effect.deadline and any(
             record["k"] == "owed" and record["id"] == effect.id for record, _ in self.unwritten
         ):
             self.withheld[effect.id] = effect
-            self.scheduler.at(effect.due, self.tell_unlogged, effect.id)
+            self.scheduler.at(effect.deadline, self.tell_unlogged, effect.id)
         else:
             self.notices.notify(effect)
 
     def tell_unlogged(self, number: str) -> None:
         """The time is up of a callback whose end is withheld."""
         if self.withheld.pop(number, None) is not None:
-            self.post(ev.EndUnlogged(number))
+            self.post(ev.EndNotLogged(number))
 
     def release(self, number: str) -> None:
         effect = self.withheld.pop(number, None)
@@ -149,17 +149,17 @@
 
     def log_not_sent(self, effect) -> None:
         """A line for each of the first callbacks of a reason, at error level for what a fault of this relay alone can bring about."""
-        if self.core.refusals[effect.why] > self.NOT_SENT_LINES:
+        if self.core.refusal_counts[effect.reason] > self.NOT_SENT_LINES:
             return
-        say = self.log.error if effect.why.is_fault else self.log.debug
+        say = self.log.error if effect.reason.is_fault else self.log.debug
         say(
             "not sent",
             id=effect.id,
             host=effect.host,
-            why=effect.why.name.lower(),
+            why=effect.reason.name.lower(),
             state=effect.state,
-            left_ms=effect.left // MS,
-            launches=effect.launches,
+            left_ms=effect.time_left // MS,
+            launches=effect.attempts,
         )
 
     # kinds of record that the core can do without: what they tell has not happened yet
@@ -179,7 +179,7 @@
         self.refused += len(rows)
         self.unwritten += [row for row in rows if row[0]["k"] not in self.REVERSIBLE]
         self.queue.append(
-            ev.Unlogged([record for record, _ in rows if record["k"] in self.REVERSIBLE])
+            ev.AppendFailed([record for record, _ in rows if record["k"] in self.REVERSIBLE])
         )
 
     def write(self, rows) -> bool:
@@ -191,7 +191,7 @@
         if self.refused:
             self.log.warning("log written again", refused=self.refused)
             self.refused = 0
-            self.queue.append(ev.LogWorks())
+            self.queue.append(ev.LogWritable())
         return True
 
     PROBE_EVERY = 100 * MS  # while the log takes nothing
@@ -201,7 +201,7 @@
         if not self.refused:
             return
         if self.busy or not self.write(
-            self.unwritten or [(self.log_clock.record(self.scheduler.machine), b"")]
+            self.unwritten or [(self.log_clock.as_record(self.scheduler.machine), b"")]
         ):
             self.scheduler.at(self.clock() + self.PROBE_EVERY, self.probe)
         elif self.queue:
@@ -209,7 +209,7 @@
 
     def plan(self) -> None:
         """Has the module stepped as soon as the period allows if anything came in, else when it is due."""
-        due = self.clock() if self.core.inbox else self.core.next_step()
+        due = self.clock() if self.core.inbox else self.core.next_step_at()
         if due is None:
             return
         due = max(due, self.last + self.period)
@@ -230,16 +230,16 @@
         done, self.hosts.counts = dict(sorted(self.hosts.counts.items())), Counter()
         came, self.clients.counts = dict(sorted(self.clients.counts.items(), key=str)), Counter()
         stood, self.scheduler.most_stood = self.scheduler.most_stood, 0
-        kept_back, self.core.refusals = (
-            {why.name.lower(): n for why, n in self.core.refusals.items()},
+        kept_back, self.core.refusal_counts = (
+            {why.name.lower(): n for why, n in self.core.refusal_counts.items()},
             Counter(),
         )
-        if done or came or self.core.held:
+        if done or came or self.core.callbacks:
             self.log.info(
                 "counts",
                 clients=came,
                 stood_ms=stood // MS,
-                held=len(self.core.held),
+                held=len(self.core.callbacks),
                 out=self.hosts.out,
                 outcomes=done,
                 not_sent=kept_back,
--- a/molehill/shutdown.py
+++ b/molehill/shutdown.py
@@ -80,7 +80,7 @@
         process, before, self.state = self.process, self.state, state
         check_invariant(state in NEXT[before], "shutdown_state", before=before, after=state)
         if state is STOPPING:
-            process.log.info("stopping", held=len(process.core.held), out=process.hosts.out)
+            process.log.info("stopping", held=len(process.core.callbacks), out=process.hosts.out)
             process.engine.post(ev.Stop(self.told + AT[LAST_ANSWERS]))
         elif state is LETTING_GO:
             process.clients.let_go()
--- a/molehill/startup.py
+++ b/molehill/startup.py
@@ -8,7 +8,7 @@
 
 from molehill import log_clock
 from molehill.config import SECOND, ConfigError
-from molehill.core.figures import Figures
+from molehill.core.metrics import Metrics
 from molehill.http.admin import Admin
 from molehill.runtime.log import logger
 from molehill.runtime.scheduler import Scheduler
@@ -59,7 +59,7 @@
                 lambda: self.process is not None and self.process.can_serve(),
                 lambda: self.process.figures()
                 if self.process
-                else Figures(config.categories).text(),
+                else Metrics(config.categories).render(),
             )
 
     def try_lock(self) -> None:
@@ -97,8 +97,8 @@
         store = Store(self.config.state, log_room(self.config)[0], self.machine.disk)
         try:
             store.read()
-            clock = log_clock.find(store.lines(), self.machine)
-            if not store.append([(clock.record(self.machine), b"")]) and not store.full:
+            clock = log_clock.find_clock(store.record_lines(), self.machine)
+            if not store.append([(clock.as_record(self.machine), b"")]) and not store.is_full:
                 raise OSError("the log takes no records")
         except OSError:
             store.close()
--- a/molehill/storage/codec.py
+++ b/molehill/storage/codec.py
@@ -7,29 +7,32 @@
 
 import msgspec
 
-_pack, _unpack = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder().decode
-_text, _untext = msgspec.json.Encoder().encode, msgspec.json.Decoder().decode
+_encode_msgpack, _decode_msgpack = (
+    msgspec.msgpack.Encoder().encode,
+    msgspec.msgpack.Decoder().decode,
+)
+_encode_json, _decode_json = msgspec.json.Encoder().encode, msgspec.json.Decoder().decode
 
 
 class CodecError(Exception):
     """A payload that its version does not read, or a version that is not known here; the text says which."""
 
 
-def _line(payload: bytes):
-    line, mark, body = payload.partition(b"\n")
-    if not mark:
+def _split_line(payload: bytes):
+    line, separator, body = payload.partition(b"\n")
+    if not separator:
         raise ValueError("no end of the fields")
     return line, body
 
 
-def _read_json(payload: bytes):
-    line, body = _line(payload)
+def _read_plain_json(payload: bytes):
+    line, body = _split_line(payload)
     return json.loads(line), body
 
 
-def _read_text(payload: bytes):
-    line, body = _line(payload)
-    return _untext(line), body
+def _read_msgspec_json(payload: bytes):
+    line, body = _split_line(payload)
+    return _decode_json(line), body
 
 
 # version -> (fields and body to a payload, and back): 1 the log's form before segments, 2 the same by msgspec, 3 MessagePack
@@ -38,10 +41,13 @@
         lambda fields, body: json.dumps(fields, separators=(",", ":")).encode("ascii")
         + b"\n"
         + body,
-        _read_json,
+        _read_plain_json,
+    ),
+    2: (lambda fields, body: _encode_json(fields) + b"\n" + body, _read_msgspec_json),
+    3: (
+        lambda fields, body: _encode_msgpack((fields, body)),
+        lambda payload: tuple(_decode_msgpack(payload)),
     ),
-    2: (lambda fields, body: _text(fields) + b"\n" + body, _read_text),
-    3: (lambda fields, body: _pack((fields, body)), lambda payload: tuple(_unpack(payload))),
 }
 
 
--- a/molehill/storage/drive.py
+++ b/molehill/storage/drive.py
@@ -2,42 +2,45 @@
 
 from molehill.storage.space import Space
 
-HEAD = 40  # bytes of a segment's head
+HEADER_SIZE = 40  # bytes of a segment's head
 
 
-class Disk:
+class SpaceSimulator:
     """Rolls, writes, moves, unlinks. Counts bytes asked for and written, and the most states moved after one append."""
 
-    def __init__(self, most, size):
-        self.space, self.serial, self.asked, self.written, self.longest = (
-            Space(most, size),
+    def __init__(self, max_bytes, segment_size):
+        self.space, self.last_segment, self.appended, self.written, self.most_moved = (
+            Space(max_bytes, segment_size),
             0,
             0,
             0,
             0,
         )
 
-    def write(self, length, ident=None):
+    def write(self, length, callback_id=None):
         if not self.space.fits(length):
-            self.serial += 1
-            self.space.opened(self.serial, HEAD)
-        self.space.wrote(length, ident)
+            self.last_segment += 1
+            self.space.add_segment(self.last_segment, HEADER_SIZE)
+        self.space.add_bytes(length, callback_id)
         self.written += length
-        assert self.space.used <= self.space.most, "the room is used up"
+        assert self.space.used_bytes <= self.space.max_bytes, "the room is used up"
 
-    def append(self, length, ident=None, state=None):
-        self.write(length, ident)
-        self.asked += length
+    def append(self, length, callback_id=None, state=None):
+        self.write(length, callback_id)
+        self.appended += length
         if state:
-            self.space.begins(ident, length, state)
-        moved = self.space.to_move(length)
-        self.longest = max(self.longest, len(moved))
-        for one in moved:
-            size, left = self.space.places[one].owed[one], self.space.reserved[one]
-            self.write(size)
-            self.space.begins(one, size, left)
-        for number in self.space.empty():
-            assert not self.space.segments[number].owed and number == next(
+            self.space.add_state(callback_id, length, state)
+        moved = self.space.states_to_move(length)
+        self.most_moved = max(self.most_moved, len(moved))
+        for moved_id in moved:
+            length_moved, left = (
+                self.space.locations[moved_id].states[moved_id],
+                self.space.reserved[moved_id],
+            )
+            self.write(length_moved)
+            self.space.add_state(moved_id, length_moved, left)
+        for segment_number in self.space.empty_segments():
+            assert not self.space.segments[segment_number].states and segment_number == next(
                 iter(self.space.segments)
             )
-            self.space.dropped(number)
+            self.space.remove_segment(segment_number)
--- a/molehill/storage/records.py
+++ b/molehill/storage/records.py
@@ -12,71 +12,82 @@
 import google_crc32c
 
 # no text in UTF-8 and no small number in MessagePack begins so
-MARK = b"\xf1mh\x9c"
+MAGIC = b"\xf1mh\x9c"
 # mark, length of the payload, sequence number, checksums of these and of all
-HEAD = struct.Struct(">4sIQII")
+HEADER = struct.Struct(">4sIQII")
 # bytes of a payload: far over what any front takes; a length beyond it is spoilt
-MOST = 1 << 24
-SALT = 8  # bytes: as likely guessed as a checksum of 64 bits
+MAX_PAYLOAD = 1 << 24
+SALT_SIZE = 8  # bytes: as likely guessed as a checksum of 64 bits
 
 
 class Record(NamedTuple):
-    at: int  # where it begins in the segment
-    number: int
+    offset: int  # where it begins in the segment
+    sequence: int
     payload: bytes
 
 
 class Gap(NamedTuple):
     """Bytes that are no whole record: spoilt, or torn if nothing whole follows."""
 
-    at: int
+    offset: int
     length: int
 
 
-def pack(salt: bytes, number: int, payload: bytes) -> bytes:
+def pack(salt: bytes, sequence: int, payload: bytes) -> bytes:
     """A record's bytes; ValueError for a payload over MOST."""
-    if len(payload) > MOST:
-        raise ValueError(f"a payload of {len(payload)} bytes, {MOST} at most")
-    check = _check(salt, len(payload), number)
+    if len(payload) > MAX_PAYLOAD:
+        raise ValueError(f"a payload of {len(payload)} bytes, {MAX_PAYLOAD} at most")
+    header_checksum = _header_checksum(salt, len(payload), sequence)
     return (
-        HEAD.pack(MARK, len(payload), number, check, google_crc32c.extend(check, payload)) + payload
+        HEADER.pack(
+            MAGIC,
+            len(payload),
+            sequence,
+            header_checksum,
+            google_crc32c.extend(header_checksum, payload),
+        )
+        + payload
     )
 
 
-def _check(salt: bytes, length: int, number: int) -> int:
-    return google_crc32c.value(salt + struct.pack(">IQ", length, number))
+def _header_checksum(salt: bytes, length: int, sequence: int) -> int:
+    return google_crc32c.value(salt + struct.pack(">IQ", length, sequence))
 
 
-def _whole(data: bytes, at: int, salt: bytes):
+def _record_at(data: bytes, offset: int, salt: bytes):
     """The record that begins there, or None."""
-    if at + HEAD.size > len(data):
+    if offset + HEADER.size > len(data):
         return None
-    mark, length, number, check, whole = HEAD.unpack_from(data, at)
-    start = at + HEAD.size
+    magic, length, sequence, header_checksum, checksum = HEADER.unpack_from(data, offset)
+    start = offset + HEADER.size
     if (
-        mark != MARK
-        or length > MOST
+        magic != MAGIC
+        or length > MAX_PAYLOAD
         or start + length > len(data)
-        or _check(salt, length, number) != check
+        or _header_checksum(salt, length, sequence) != header_checksum
     ):
         return None
     payload = data[start : start + length]
-    return Record(at, number, payload) if google_crc32c.extend(check, payload) == whole else None
+    return (
+        Record(offset, sequence, payload)
+        if google_crc32c.extend(header_checksum, payload) == checksum
+        else None
+    )
 
 
-def scan(data: bytes, salt: bytes, at: int = 0) -> Iterator[Union[Record, Gap]]:
+def scan(data: bytes, salt: bytes, offset: int = 0) -> Iterator[Union[Record, Gap]]:
     """All whole records from there on, in order, and between them what is spoilt."""
-    lost = at
-    while at < len(data):
-        record = _whole(data, at, salt)
+    gap_start = offset
+    while offset < len(data):
+        record = _record_at(data, offset, salt)
         if record is None:
-            at = data.find(MARK, at + 1)
-            if at < 0:
+            offset = data.find(MAGIC, offset + 1)
+            if offset < 0:
                 break
             continue
-        if lost < at:
-            yield Gap(lost, at - lost)
+        if gap_start < offset:
+            yield Gap(gap_start, offset - gap_start)
         yield record
-        at = lost = at + HEAD.size + len(record.payload)
-    if lost < len(data):
-        yield Gap(lost, len(data) - lost)
+        offset = gap_start = offset + HEADER.size + len(record.payload)
+    if gap_start < len(data):
+        yield Gap(gap_start, len(data) - gap_start)
--- a/molehill/store.py
+++ b/molehill/store.py
@@ -17,37 +17,37 @@
 import zlib
 from typing import Callable, Iterator, NamedTuple
 
-HEAD = struct.Struct(">II")
+HEADER = struct.Struct(">II")
 # how each record's JSON begins; JSON escapes it in texts, and a body that holds it is encoded
-MARK = b'{"k":"'
-BLOCK = 512  # files count in whole blocks of so many bytes
+RECORD_PREFIX = b'{"k":"'
+BLOCK_SIZE = 512  # files count in whole blocks of so many bytes
 FILLER = "filler"  # kind of a record that only covers what a failed write left
-FOLLOWING = "more"  # key of a record: how many records of the same append follow it
-ENCODED = "b64"  # key of a record: its body is in base64
+REMAINING_KEY = "more"  # key of a record: how many records of the same append follow it
+BASE64_KEY = "b64"  # key of a record: its body is in base64
 
 
-class Piece(NamedTuple):
+class Chunk(NamedTuple):
     """A stretch of the log's bytes: a whole record, or what lies between two."""
 
-    at: int
+    start: int
     end: int
     payload: bytes | None  # None: no record
-    torn: bool = False  # no record, and cut off by the end of the log
+    is_torn: bool = False  # no record, and cut off by the end of the log
 
 
 def encode(record: dict, body: bytes = b"") -> bytes:
     """One record's bytes. `record` has its kind as its first key, `k`."""
-    if MARK in body:
-        record, body = {**record, ENCODED: True}, base64.b64encode(body)
+    if RECORD_PREFIX in body:
+        record, body = {**record, BASE64_KEY: True}, base64.b64encode(body)
     payload = json.dumps(record, separators=(",", ":")).encode("ascii") + b"\n" + body
-    return HEAD.pack(len(payload), zlib.crc32(payload)) + payload
+    return HEADER.pack(len(payload), zlib.crc32(payload)) + payload
 
 
-def encode_together(rows) -> bytes:
+def encode_append(rows) -> bytes:
     """Rows (record, body) of one append; read again all or none."""
-    last = len(rows) - 1
+    last_index = len(rows) - 1
     return b"".join(
-        encode({**record, FOLLOWING: last - n} if n < last else record, body)
+        encode({**record, REMAINING_KEY: last_index - n} if n < last_index else record, body)
         for n, (record, body) in enumerate(rows)
     )
 
@@ -56,58 +56,63 @@
     """A record and its body. Raises ValueError and the like for what is none."""
     line, _, body = payload.partition(b"\n")
     record = json.loads(line)
-    if record.pop(ENCODED, False):
+    if record.pop(BASE64_KEY, False):
         body = base64.b64decode(body)
     return record, body
 
 
-def filler(size: int) -> bytes:
+def make_filler(size: int) -> bytes:
     """A record that says nothing, of so many bytes, or as few more as a record needs."""
     shortest = encode({"k": FILLER})
     return encode({"k": FILLER}, b" " * max(0, size - len(shortest)))
 
 
-def payload_at(data: bytes, at: int) -> bytes | None:
+def payload_at(data: bytes, offset: int) -> bytes | None:
     """The payload of the whole record that begins there, or None."""
-    if at + HEAD.size > len(data):
+    if offset + HEADER.size > len(data):
         return None
-    length, check = HEAD.unpack_from(data, at)
-    payload = data[at + HEAD.size : at + HEAD.size + length]
+    length, checksum = HEADER.unpack_from(data, offset)
+    payload = data[offset + HEADER.size : offset + HEADER.size + length]
     # Danger: a length and a checksum of 0 fit each other, as in a hole of the file
-    whole = 0 < length == len(payload) and zlib.crc32(payload) == check
+    whole = 0 < length == len(payload) and zlib.crc32(payload) == checksum
     return payload if whole else None
 
 
-def next_record(data: bytes, start: int) -> int:
+def find_next_record(data: bytes, start: int) -> int:
     """Where the next whole record behind `start` begins; the end of the data if there is none."""
-    found = data.find(MARK, start + 1 + HEAD.size)
+    found = data.find(RECORD_PREFIX, start + 1 + HEADER.size)
     while found >= 0:
-        if payload_at(data, found - HEAD.size) is not None:
-            return found - HEAD.size
-        found = data.find(MARK, found + 1)
+        if payload_at(data, found - HEADER.size) is not None:
+            return found - HEADER.size
+        found = data.find(RECORD_PREFIX, found + 1)
     return len(data)
 
 
-def is_spoilt(data: bytes, at: int, end: int) -> bool:
+def is_corrupt_record(data: bytes, offset: int, end: int) -> bool:
     """Whether what lies there is a record of just that length that does not fit its checksum: written whole, spoilt later."""
-    if end - at < HEAD.size:
+    if end - offset < HEADER.size:
         return False
-    length, _ = HEAD.unpack_from(data, at)
-    return 0 < length == end - at - HEAD.size
+    length, _ = HEADER.unpack_from(data, offset)
+    return 0 < length == end - offset - HEADER.size
 
 
-def scan(data: bytes) -> Iterator[Piece]:
+def scan(data: bytes) -> Iterator[Chunk]:
     """The log's bytes in order, piece by piece."""
-    at = 0
-    while at < len(data):
-        payload = payload_at(data, at)
+    offset = 0
+    while offset < len(data):
+        payload = payload_at(data, offset)
         if payload is not None:
-            end = at + HEAD.size + len(payload)
-            yield Piece(at, end, payload)
+            end = offset + HEADER.size + len(payload)
+            yield Chunk(offset, end, payload)
         else:
-            end = next_record(data, at)
-            yield Piece(at, end, None, torn=end == len(data) and not is_spoilt(data, at, end))
-        at = end
+            end = find_next_record(data, offset)
+            yield Chunk(
+                offset,
+                end,
+                None,
+                is_torn=end == len(data) and not is_corrupt_record(data, offset, end),
+            )
+        offset = end
 
 
 def write_all(disk, fd: int, data: bytes) -> bool:
@@ -127,17 +132,20 @@
 class Store:
     """One log. Its constructor and `read` raise OSError; all else reports failure by its result."""
 
-    NAME, NEW = "log", "log.new"
+    FILE_NAME, NEW_FILE_NAME = "log", "log.new"
 
-    def __init__(self, folder: str, most: int, disk):
-        """`most`: bytes that this log and a new one beside it may take up together; `disk` as of runtime/kernel.py."""
+    def __init__(self, folder: str, max_bytes: int, disk):
+        """`max_bytes`: bytes that this log and a new one beside it may take up together; `disk` as of runtime/kernel.py."""
         self.disk = disk
-        self.path, self.new_path = os.path.join(folder, self.NAME), os.path.join(folder, self.NEW)
-        self.most, self.size, self.live, self.failed = most, 0, 0, False
-        self.full = False  # the last append had no room
-        self.tail = 0  # bytes behind `size` that a failed write may have left
+        self.path, self.new_path = (
+            os.path.join(folder, self.FILE_NAME),
+            os.path.join(folder, self.NEW_FILE_NAME),
+        )
+        self.max_bytes, self.size, self.live_bytes, self.append_failed = max_bytes, 0, 0, False
+        self.is_full = False  # the last append had no room
+        self.tail_bytes = 0  # bytes behind `size` that a failed write may have left
         # as read: bytes cut off; records of no use; stretches that can't be read
-        self.cut = self.odd = self.spoilt = 0
+        self.truncated_bytes = self.unusable_records = self.corrupt_chunks = 0
         self.data = b""  # as read, until it is replayed
         disk.makedirs(folder)
         if disk.exists(self.new_path):
@@ -147,117 +155,126 @@
     def read(self) -> None:
         """Reads the file and settles its end; `replay` then gives what it holds."""
         self.data = self.disk.read(self.path)
-        end = self._committed()
-        self.cut, self.size, self.tail = len(self.data) - end, end, len(self.data) - end
+        end = self._committed_end()
+        self.truncated_bytes, self.size, self.tail_bytes = (
+            len(self.data) - end,
+            end,
+            len(self.data) - end,
+        )
         self.data = self.data[:end]
-        if not self.tail:
+        if not self.tail_bytes:
             self.disk.seek(self.fd, end)
-        elif not self.settle_end():
+        elif not self.repair_end():
             raise OSError("the end of the log can't be settled")
 
-    def _committed(self) -> int:
+    def _committed_end(self) -> int:
         """Where the last append that was not cut off ends."""
-        end, begun = 0, None  # begun: where an append begins whose last record has not come
-        for piece in scan(self.data):
-            if piece.payload is None:
-                if piece.torn:
+        end, append_start = (
+            0,
+            None,
+        )  # append_start: where an append begins whose last record has not come
+        for chunk in scan(self.data):
+            if chunk.payload is None:
+                if chunk.is_torn:
                     break
-                end, begun = piece.end, None
-            elif b'"%s":' % FOLLOWING.encode() in piece.payload.partition(b"\n")[0]:
-                begun = piece.at if begun is None else begun
+                end, append_start = chunk.end, None
+            elif b'"%s":' % REMAINING_KEY.encode() in chunk.payload.partition(b"\n")[0]:
+                append_start = chunk.start if append_start is None else append_start
             else:
-                end, begun = piece.end, None
-        return end if begun is None else min(end, begun)
+                end, append_start = chunk.end, None
+        return end if append_start is None else min(end, append_start)
 
-    def lines(self) -> Iterator[bytes]:
+    def record_lines(self) -> Iterator[bytes]:
         """The line of JSON of each record that was read, for a look before the replay."""
-        for piece in scan(self.data):
-            if piece.payload is not None:
-                yield piece.payload.partition(b"\n")[0]
+        for chunk in scan(self.data):
+            if chunk.payload is not None:
+                yield chunk.payload.partition(b"\n")[0]
 
-    def replay(self, load: Callable, load_spoilt: Callable = lambda data: None) -> int:
-        """Hands each record and its body to `load`, in order, and bytes that can't be read to `load_spoilt`; how many records
+    def replay(self, load: Callable, load_corrupt: Callable = lambda data: None) -> int:
+        """Hands each record and its body to `load`, in order, and bytes that can't be read to `load_corrupt`; how many records
         were of use. What is handed over is not kept."""
         if not self.data:
             self.read()
         count = 0
-        for piece in scan(self.data):
-            if piece.payload is None:
-                self.spoilt += 1
-                load_spoilt(self.data[piece.at : piece.end])
+        for chunk in scan(self.data):
+            if chunk.payload is None:
+                self.corrupt_chunks += 1
+                load_corrupt(self.data[chunk.start : chunk.end])
                 continue
             try:
-                record, body = decode(piece.payload)
-                record.pop(FOLLOWING, None)
+                record, body = decode(chunk.payload)
+                record.pop(REMAINING_KEY, None)
                 load(record, body)
                 count += 1
             # whatever it is: danger, one record that can't be read would keep the relay from its start
             except Exception:
-                self.odd += 1  # whole, but of no use here: what follows it still counts
+                self.unusable_records += (
+                    1  # whole, but of no use here: what follows it still counts
+                )
         self.data = b""
         return count
 
-    def settle_end(self) -> bool:
+    def repair_end(self) -> bool:
         """Has the log end with its last whole record, or with a filler behind it; whether that is so now."""
-        if not self.tail:
+        if not self.tail_bytes:
             return True
         try:
             self.disk.truncate(self.fd, self.size)
             self.disk.seek(self.fd, self.size)
         except OSError:
             return self._cover_tail()
-        self.tail = 0
+        self.tail_bytes = 0
         return True
 
     def _cover_tail(self) -> bool:
-        cover = filler(self.tail)
+        cover = make_filler(self.tail_bytes)
         try:
             self.disk.seek(self.fd, self.size)
         except OSError:
             return False
-        self.tail = max(self.tail, len(cover))
+        self.tail_bytes = max(self.tail_bytes, len(cover))
         if not self._write(self.fd, cover):
             return False
-        self.size, self.tail = self.size + len(cover), 0
+        self.size, self.tail_bytes = self.size + len(cover), 0
         return True
 
     def append(self, rows) -> bool:
         """Writes (record, body) rows, all or none; False if the file would not take them."""
-        data = encode_together(rows)
-        self.failed = True
-        self.full = self.size + len(data) + BLOCK > self.most
-        if self.full or not self.settle_end():
+        data = encode_append(rows)
+        self.append_failed = True
+        self.is_full = self.size + len(data) + BLOCK_SIZE > self.max_bytes
+        if self.is_full or not self.repair_end():
             return False
         if not self._write(self.fd, data):
-            self.tail = len(data)
-            self.settle_end()
+            self.tail_bytes = len(data)
+            self.repair_end()
             return False
-        self.size, self.failed = self.size + len(data), False
+        self.size, self.append_failed = self.size + len(data), False
         return True
 
     def _write(self, fd, data) -> bool:
         return write_all(self.disk, fd, data)
 
-    def wants_rewrite(self) -> bool:
+    def needs_rewrite(self) -> bool:
         """After a failure, or past 9/20 of the room, which leaves room beside it for what is owed, 7/20 at most;
         then not again before a sixteenth has come in."""
         return (
-            self.failed
-            or self.size > self.most * 9 // 20
-            and self.size > self.live + self.most // 16
+            self.append_failed
+            or self.size > self.max_bytes * 9 // 20
+            and self.size > self.live_bytes + self.max_bytes // 16
         )
 
     def rewrite(self, rows) -> bool:
         """A new log with these rows in place of the old one; on failure the old one stays as it is."""
         data = b"".join(encode(record, body) for record, body in rows)
-        if self.size + len(data) + 2 * BLOCK > self.most:
+        if self.size + len(data) + 2 * BLOCK_SIZE > self.max_bytes:
             return False
         try:
             fd = self.disk.open(self.new_path, anew=True)
         except OSError:
             return False
-        if not self._write(fd, data) or not self._renamed(fd):
-            self._close(fd)
+        if not self._write(fd, data) or not self._rename_new_log(fd):
+            self._close_file(fd)
             try:
                 self.disk.unlink(self.new_path)
             except OSError:
@@ -265,12 +282,12 @@
             return False
         # Danger: a failing close of the old file must not leave the new one unused: what is written to the old one is lost.
         old, self.fd = self.fd, fd
-        self.size = self.live = len(data)
-        self.tail, self.failed = 0, False
-        self._close(old)
+        self.size = self.live_bytes = len(data)
+        self.tail_bytes, self.append_failed = 0, False
+        self._close_file(old)
         return True
 
-    def _renamed(self, fd: int) -> bool:
+    def _rename_new_log(self, fd: int) -> bool:
         """Danger: a rename that reports a failure may have been done all the same."""
         try:
             self.disk.rename(self.new_path, self.path)
@@ -281,7 +298,7 @@
                 return False
         return True
 
-    def _close(self, fd: int) -> None:
+    def _close_file(self, fd: int) -> None:
         try:
             self.disk.close(fd)
         except OSError:
@@ -290,5 +307,5 @@
     def close(self) -> None:
         """Nothing is written any more: its descriptor's number may be another file's from here on."""
         if self.fd >= 0:
-            self._close(self.fd)
+            self._close_file(self.fd)
             self.fd = -1
--- a/molehill/upgrade.py
+++ b/molehill/upgrade.py
@@ -245,7 +245,7 @@
 def rows_of(process, began: int):
     """All that passes, as rows (message, body, socket or None); nothing of it is used by this process unless it comes back."""
     core, rows = process.core, []
-    state, learnt = core.estate()
+    state, learnt = core.handover_state()
     rows += [
         ({"k": "host", "row": listed(host, process.config)}, b"", None)
         for host in core.hosts.values()
@@ -268,9 +268,9 @@
     return [*rows, (state, b"", None)]
 
 
-def inherit(process, estate) -> ev.Inherited:
+def inherit(process, estate) -> ev.HandoverReceived:
     """Has connections and calls go on in the new process; what its core is to know of them."""
-    held, calls, lost = process.core.held, [], list(estate.state["lost"])
+    held, calls, lost = process.core.callbacks, [], list(estate.state["lost"])
     for message, body, sock in estate.conns:
         kind = message["k"]
         if kind == "client":
@@ -289,6 +289,6 @@
                 calls.append((message["n"], message["host"], ids, message["start"], until))
             continue
         lost += ids
-    return ev.Inherited(
+    return ev.HandoverReceived(
         calls, lost, {route: until for route, until in estate.state["waits"]}, estate.learnt
     )
--- a/tests/ledger.py
+++ b/tests/core_harness.py
@@ -15,11 +15,11 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-R = interface.Result
-MAY_HAVE_RUN = (R.ERROR, R.TIMEOUT, R.RESET, R.CANCELLED)
+Result = interface.Result
+MAY_HAVE_RUN = (Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED)
 
 
-def category(
+def callback_class(
     effect="rerunnable",
     goal=1000,
     abandon=5000,
@@ -43,7 +43,7 @@
 
 def settings(**given):
     base = dict(
-        callback_classes=[category()],
+        callback_classes=[callback_class()],
         kinds=[interface.HostKind(False, 1)],
         max_calls=8,
         max_attempts=6,
@@ -65,87 +65,104 @@
     return next(iter(module.state.endpoints.values()))
 
 
-class World:
+class DecisionHarness:
     """Hosts are (id, zone, kind, destination)."""
 
     def __init__(self, given, hosts=((1, 0, 0, 1), (2, 1, 0, 1)), seed=7):
-        self.set, self.table = given, {h[0]: h for h in hosts}
-        self.now, self.seed, self.serial = SECOND, seed, 0
+        self.settings, self.host_rows = given, {h[0]: h for h in hosts}
+        self.now, self.seed, self.last_number = SECOND, seed, 0
         self.start([interface.HostEntry(*h, interface.Condition.UP, 1.0) for h in hosts])
 
     def start(self, entries):
         """A relay killed and started anew knows nothing but its list."""
-        self.relay = Dispatcher(self.set, self.seed)
-        self.open, self.out, self.final, self.sent, self.waits, self.rests = {}, {}, {}, [], {}, {}
-        self.up, self.fails, self.shut, self.notes, self.closed = {}, {}, {}, [], []
-        self.asked = 0
-        self.step([self.news(interface.ListScope.RESTORED, entries)])
+        self.dispatcher = Dispatcher(self.settings, self.seed)
+        (
+            self.open_callbacks,
+            self.in_flight,
+            self.completed,
+            self.sent,
+            self.retry_times,
+            self.cooldowns,
+        ) = {}, {}, {}, [], {}, {}
+        self.is_up, self.failures, self.ejected_at, self.health_messages, self.closed_idle = (
+            {},
+            {},
+            {},
+            [],
+            [],
+        )
+        self.list_requests = 0
+        self.step([self.list_news(interface.ListScope.RESTORED, entries)])
 
-    def news(self, scope, entries):
+    def list_news(self, scope, entries):
         if scope is not interface.ListScope.UPDATE:
-            self.up = {}
-        self.up.update({e.host: e.condition is interface.Condition.UP for e in entries})
+            self.is_up = {}
+        self.is_up.update({e.host: e.condition is interface.Condition.UP for e in entries})
         return interface.HostListUpdate(scope, list(entries))
 
     def route(self, host):
-        _, _, kind, destination = self.table[host]
-        return host if self.set.kinds[kind].separate_routes else -destination
+        _, _, kind, destination = self.host_rows[host]
+        return host if self.settings.kinds[kind].separate_routes else -destination
 
-    def take(self, cat=0, destination=1, key=None, tenant=0, abandon=None):
-        self.serial += 1
-        row = self.set.callback_classes[cat]
+    def submit(self, cat=0, destination=1, key=None, tenant=0, abandon=None):
+        self.last_number += 1
+        row = self.settings.callback_classes[cat]
         due = self.now + (row.time_limit if abandon is None else abandon)
-        self.open[self.serial] = dict(
-            row=row, key=key if row.ordered else None, due=due, launches=[]
+        self.open_callbacks[self.last_number] = dict(
+            row=row, key=key if row.ordered else None, deadline=due, attempts=[]
         )
-        self.step([interface.NewCallback(self.serial, cat, tenant, key, due, destination)])
-        return self.serial
+        self.step([interface.NewCallback(self.last_number, cat, tenant, key, due, destination)])
+        return self.last_number
 
     def outcome(self, number, result, wait=0, told=(0.0, None)):
         """The outcome of the launch that a callback has out."""
-        host, sent, _ = self.out.pop(number)
-        entry = self.open.get(number)
+        host, sent, _ = self.in_flight.pop(number)
+        entry = self.open_callbacks.get(number)
         if result in MAY_HAVE_RUN and entry is not None:
-            entry.setdefault("bound", (sent, self.table[host][1]))
-        if result in (R.TIMEOUT, R.RESET, R.CANCELLED) and entry is not None and entry["key"]:
-            self.rests[entry["key"]] = self.now + self.set.key_cooldown
-        if result is R.DELIVERED:
-            self.fails[host] = 0
-            if number in self.open:
-                self.final[number] = self.open.pop(number)
-        elif result not in (R.REFUSED, R.CANCELLED) and (
-            result is not R.TIMEOUT or entry and entry["due"] > self.now
+            entry.setdefault("bound", (sent, self.host_rows[host][1]))
+        if (
+            result in (Result.TIMEOUT, Result.RESET, Result.CANCELLED)
+            and entry is not None
+            and entry["key"]
+        ):
+            self.cooldowns[entry["key"]] = self.now + self.settings.key_cooldown
+        if result is Result.DELIVERED:
+            self.failures[host] = 0
+            if number in self.open_callbacks:
+                self.completed[number] = self.open_callbacks.pop(number)
+        elif result not in (Result.REFUSED, Result.CANCELLED) and (
+            result is not Result.TIMEOUT or entry and entry["deadline"] > self.now
         ):
-            self.fails[host] = self.fails.get(host, 0) + 1
-            if self.fails[host] == 4:
-                self.shut[host] = self.now
-        if result is R.REFUSED and wait:
+            self.failures[host] = self.failures.get(host, 0) + 1
+            if self.failures[host] == 4:
+                self.ejected_at[host] = self.now
+        if result is Result.REFUSED and wait:
             route = self.route(host)
-            self.waits[route] = max(self.waits.get(route, 0), self.now + wait)
-        attempts = len(entry["launches"]) - 1 if entry else 0
+            self.retry_times[route] = max(self.retry_times.get(route, 0), self.now + wait)
+        attempts = len(entry["attempts"]) - 1 if entry else 0
         return interface.Outcome(
             number,
             attempts,
             host,
             result,
             self.now - sent,
-            wait if result is R.REFUSED else 0,
-            number in self.final,
+            wait if result is Result.REFUSED else 0,
+            number in self.completed,
             told[0],
             advertised_share_left=told[1],
         )
 
-    def answer(self, number, result=R.DELIVERED, wait=0, told=(0.0, None)):
+    def answer(self, number, result=Result.DELIVERED, wait=0, told=(0.0, None)):
         self.step([self.outcome(number, result, wait, told)])
 
     def advance(self, span):
         """Time passes; launches past their time-out end in silence, and the relay's own timers ring."""
         until = self.now + span
         while self.now < until:
-            nexts = [end for _, _, end in self.out.values()] + [self.wake or until]
+            nexts = [end for _, _, end in self.in_flight.values()] + [self.wake or until]
             self.now = min(until, max(self.now + 1, min(nexts)))
-            late = [n for n, (_, _, end) in self.out.items() if end <= self.now]
-            events = [self.outcome(n, R.TIMEOUT) for n in late]
+            late = [n for n, (_, _, end) in self.in_flight.items() if end <= self.now]
+            events = [self.outcome(n, Result.TIMEOUT) for n in late]
             self.step(events + [interface.TimerExpired("wake")])
 
     def step(self, events=()):
@@ -154,16 +171,22 @@
             if any(type(e) is interface.TimerExpired for e in events)
             else getattr(self, "wake", None)
         )
-        for action in self.relay.step(self.now, list(events)):
+        for action in self.dispatcher.step(self.now, list(events)):
             getattr(self, "on_" + type(action).__name__.lower())(action)
-        for number, entry in self.open.items():
-            assert entry["due"] > self.now, f"rule 1: {number} has no final answer in time"
-        share = max(1, self.set.max_calls * 3 // 4)
-        for destination in {h[3] for h in self.table.values()}:
+        for number, entry in self.open_callbacks.items():
+            assert entry["deadline"] > self.now, f"rule 1: {number} has no final answer in time"
+        share = max(1, self.settings.max_calls * 3 // 4)
+        for destination in {h[3] for h in self.host_rows.values()}:
             sends = [
-                (h, sent) for h, sent, _ in self.out.values() if self.table[h][3] == destination
+                (h, sent)
+                for h, sent, _ in self.in_flight.values()
+                if self.host_rows[h][3] == destination
             ]
-            size = self.set.kinds[self.table[sends[0][0]][2]].callbacks_per_call if sends else 1
+            size = (
+                self.settings.kinds[self.host_rows[sends[0][0]][2]].callbacks_per_call
+                if sends
+                else 1
+            )
             calls = sum(-(-sends.count(call) // size) for call in set(sends))
             assert calls <= share, "the slot share is kept"
 
@@ -172,23 +195,25 @@
         self.wake = min(self.wake or self.now + action.delay, self.now + action.delay)
 
     def on_reporthealth(self, action):
-        self.notes.append(action.text)
+        self.health_messages.append(action.text)
 
     def on_closeidle(self, action):
-        assert action.host in self.table
-        self.closed.append(action.host)
+        assert action.host in self.host_rows
+        self.closed_idle.append(action.host)
 
     def on_watchhostlist(self, _):
-        self.asked += 1
+        self.list_requests += 1
 
     def on_startattempt(self, action):
         number, host, now = action.callback, action.host, self.now
-        assert number in self.open and number not in self.out, "rules 1, 2: open, and none out"
-        entry = self.open[number]
+        assert (
+            number in self.open_callbacks and number not in self.in_flight
+        ), "rules 1, 2: open, and none out"
+        entry = self.open_callbacks[number]
         row = entry["row"]
         assert (
-            entry["due"] > now
-            and len(entry["launches"]) < self.set.max_attempts
+            entry["deadline"] > now
+            and len(entry["attempts"]) < self.settings.max_attempts
             and action.timeout > 0
         )
         if "bound" in entry:
@@ -199,31 +224,33 @@
             if row.semantics is interface.DeliverySemantics.DEDUPLICATED:
                 assert now <= sent + row.deduplication_window, "rule 2: a repeat after the window"
                 assert (
-                    row.deduplicated_everywhere or self.table[host][1] == zone
+                    row.deduplicated_everywhere or self.host_rows[host][1] == zone
                 ), "rule 2: a repeat out of scope"
-        assert self.up.get(host), "rule 3: new work for a host that drains or is gone"
+        assert self.is_up.get(host), "rule 3: new work for a host that drains or is gone"
         if (
-            self.fails.get(host, 0) >= 4
-            and self.set.kinds[self.table[host][2]].callbacks_per_call == 1
+            self.failures.get(host, 0) >= 4
+            and self.settings.kinds[self.host_rows[host][2]].callbacks_per_call == 1
         ):
             trials = [
-                h for h, sent, _ in self.out.values() if h == host and sent >= self.shut[host]
+                h
+                for h, sent, _ in self.in_flight.values()
+                if h == host and sent >= self.ejected_at[host]
             ]
             assert not trials, "rule 4: one trial at a time"
-        assert self.waits.get(self.route(host), 0) <= now, "rule 6: a told wait"
+        assert self.retry_times.get(self.route(host), 0) <= now, "rule 6: a told wait"
         if entry["key"]:
-            assert self.rests.get(entry["key"], 0) <= now, "rule 5: a key that rests"
-            ended = [(n, self.final[n]) for n in self.out if n in self.final]
-            for other, earlier in list(self.open.items()) + ended:
+            assert self.cooldowns.get(entry["key"], 0) <= now, "rule 5: a key that rests"
+            ended = [(n, self.completed[n]) for n in self.in_flight if n in self.completed]
+            for other, earlier in list(self.open_callbacks.items()) + ended:
                 assert other >= number or earlier["key"] != entry["key"], "rule 5: out of turn"
-        entry["launches"].append(host)
-        self.out[number] = (host, now, min(now + action.timeout, entry["due"]))
+        entry["attempts"].append(host)
+        self.in_flight[number] = (host, now, min(now + action.timeout, entry["deadline"]))
         self.sent.append((now, host))
 
     def on_reject(self, action):
-        entry = self.open[action.callback]
+        entry = self.open_callbacks[action.callback]
         row = entry["row"]
-        assert action.callback not in self.out, "rule 2: denied with a launch out"
+        assert action.callback not in self.in_flight, "rule 2: denied with a launch out"
         assert (
             "bound" not in entry
             or row.semantics is interface.DeliverySemantics.IDEMPOTENT
@@ -232,13 +259,13 @@
                 and row.deduplicated_everywhere
             )
         ), "rule 2: denied though it may have run"
-        self.final[action.callback] = self.open.pop(action.callback)
+        self.completed[action.callback] = self.open_callbacks.pop(action.callback)
 
     def on_fail(self, action):
-        self.final[action.callback] = self.open.pop(action.callback)
+        self.completed[action.callback] = self.open_callbacks.pop(action.callback)
 
 
-class Ticks:
+class ManualClock:
     """A clock that is moved by hand."""
 
     def __init__(self, now=1000 * SECOND):
@@ -248,55 +275,79 @@
         return self.now
 
 
-class Wire:
+class CoreHarness:
     """Carries out the core's effects against a real log and checks the rules as seen from outside.
 
     A kill may fall between any two effects; the next process reads the log and nothing else.
     """
 
-    def __init__(self, folder, given, hosts, make_module=Dispatcher, most=400_000):
-        self.folder, self.set, self.make, self.most = str(folder), given, make_module, most
-        self.now, self.serial, self.effects_left = 1000 * SECOND, 0, None
+    def __init__(self, folder, given, hosts, make_module=Dispatcher, max_bytes=400_000):
+        self.folder, self.settings, self.make_module, self.max_bytes = (
+            str(folder),
+            given,
+            make_module,
+            max_bytes,
+        )
+        self.now, self.last_number, self.effects_left = 1000 * SECOND, 0, None
         self.hosts = {
             h[0]: ev.Host(h[0], ("127.0.0.1", 1), *h[1:], interface.Condition.UP, 1.0)
             for h in hosts
         }
-        self.owed, self.ended, self.notices, self.rows, self.ran = {}, {}, {}, {}, {}
-        self.answers, self.out, self.waits, self.gone, self.said = {}, {}, {}, set(), []
-        self.unsure, self.counted = set(), {}
+        self.acknowledged, self.ended, self.notices, self.submitted, self.first_run_at = (
+            {},
+            {},
+            {},
+            {},
+            {},
+        )
+        self.answers, self.in_flight, self.retry_times, self.gone_clients, self.messages = (
+            {},
+            {},
+            {},
+            set(),
+            [],
+        )
+        self.maybe_acknowledged, self.counted_ends = set(), {}
         # slow: connections do not come up by themselves
-        self.starts, self.sent, self.logged, self.slow = 0, {}, [], False
+        self.process_number, self.sent, self.last_logged_ids, self.connects_slowly = (
+            0,
+            {},
+            [],
+            False,
+        )
         self.start()
 
     def start(self):
-        self.store = Store(self.folder, self.most, Disk())
-        self.core = Core(self.set, self.starts, self.make, self.most * 7 // 20)
+        self.store = Store(self.folder, self.max_bytes, Disk())
+        self.core = Core(
+            self.settings, self.process_number, self.make_module, self.max_bytes * 7 // 20
+        )
         self.store.replay(self.core.load)
-        self.out, self.waits, self.queue, self.starts, self.begun = (
+        self.in_flight, self.retry_times, self.queue, self.process_number, self.connected = (
             {},
             {},
             [],
-            self.starts + 1,
+            self.process_number + 1,
             set(),
         )
         # callback -> how it ended in this life, None: in an earlier one, and the log says so
-        self.counted = {i: None for i in self.ended if i not in self.core.held}
-        self.post(ev.Listed(interface.ListScope.RESTORED, list(self.hosts.values())))
-        self.post(ev.Begin())
+        self.counted_ends = {i: None for i in self.ended if i not in self.core.callbacks}
+        self.post(ev.HostListReceived(interface.ListScope.RESTORED, list(self.hosts.values())))
+        self.post(ev.Start())
         self.step()
 
     def kill(self):
         """Nothing that is left of the effects is carried out; calls that are out may have run."""
         self.queue, self.notices, self.core = [], {}, None
         # logged: it can't know who heard
-        self.unsure |= {r["id"] for r in self.records() if r["k"] == "taken"}
-        self.ran.update(
+        self.maybe_acknowledged |= {r["id"] for r in self.read_records() if r["k"] == "taken"}
+        self.first_run_at.update(
             {
                 m.id: self.sent[m.id]
-                for n, (_, ms) in self.out.items()
-                if n in self.begun
+                for n, (_, ms) in self.in_flight.items()
+                if n in self.connected
                 for m in ms
-                if m.id not in self.ran
+                if m.id not in self.first_run_at
             }
         )
         self.store.close()
@@ -313,50 +364,54 @@
                         self.effects_left = None
                         return self.kill()
                 getattr(self, "on_" + type(effect).__name__.lower())(effect)
-            if type(event) is ev.Begun and event.call in self.out:
-                self.goes(event.call)
-        if self.store.wants_rewrite():
+            if type(event) is ev.CallConnected and event.call in self.in_flight:
+                self.connection_up(event.call)
+        if self.store.needs_rewrite():
             assert self.store.rewrite(self.core.snapshot())
 
     def step(self):
         self.post(ev.Step())
-        self.recount()
+        self.check_metrics()
 
-    def recount(self):
+    def check_metrics(self):
         """The figures against what was seen from outside in this life."""
-        ends = list(self.counted.values())
+        ends = list(self.counted_ends.values())
         for name in ("fulfilled", "throttled", "faulted"):
-            assert sum(row[name] for row in self.core.figures.ends.values()) == ends.count(
+            assert sum(row[name] for row in self.core.metrics.end_counts.values()) == ends.count(
                 name
             ), name
-        held = [c.state for c in self.core.held.values()]
-        assert self.core.figures.open_requests == held.count("taken") + held.count("held")
-        assert self.core.figures.registry_entries == sum(
+        held = [c.state for c in self.core.callbacks.values()]
+        assert self.core.metrics.open_requests == held.count("taken") + held.count("held")
+        assert self.core.metrics.registry_entries == sum(
             h.condition is not interface.Condition.GONE for h in self.core.hosts.values()
         )
 
     def advance(self, span):
         until = self.now + span
         while self.now < until:
-            due = self.core.next_step()
-            ends = [member.until for _, members in self.out.values() for member in members]
+            due = self.core.next_step_at()
+            ends = [member.deadline for _, members in self.in_flight.values() for member in members]
             self.now = max(self.now + 1, min([until, *ends, *([due] if due is not None else [])]))
-            for number, (call, members) in list(self.out.items()):
-                if number in self.out and any(m.until <= self.now for m in members):
-                    self.end(number, R.TIMEOUT if number in self.begun else R.NO_CONNECT)
+            for number, (call, members) in list(self.in_flight.items()):
+                if number in self.in_flight and any(m.deadline <= self.now for m in members):
+                    self.end_call(
+                        number, Result.TIMEOUT if number in self.connected else Result.NO_CONNECT
+                    )
             self.step()
 
-    def take(self, cat=0, destination=1, key=None, span=None, gone=False, body=b"body", step=True):
-        self.serial += 1
-        number, row = f"c{self.serial:04d}", self.set.callback_classes[cat]
+    def submit(
+        self, cat=0, destination=1, key=None, span=None, gone=False, body=b"body", step=True
+    ):
+        self.last_number += 1
+        number, row = f"c{self.last_number:04d}", self.settings.callback_classes[cat]
         due = self.now + (row.time_limit if span is None else span)
-        self.rows[number] = (row, key if row.ordered else None, due, self.serial)
+        self.submitted[number] = (row, key if row.ordered else None, due, self.last_number)
         if gone:
-            self.gone.add(number)
+            self.gone_clients.add(number)
         self.post(
-            ev.Arrived(
+            ev.Submitted(
                 f"client of {number}",
-                ev.Fresh(
+                ev.Submission(
                     number, cat, 0, key if row.ordered else None, destination, due, None, body
                 ),
             )
@@ -365,65 +420,72 @@
             self.step()
         return number
 
-    def goes(self, number):
+    def connection_up(self, number):
         """Its connection is up: from here on its bytes may be at the host."""
-        members = self.out[number][1]
-        assert self.logged == [m.id for m in members], "a launch is logged before its bytes go"
+        members = self.in_flight[number][1]
+        assert self.last_logged_ids == [
+            m.id for m in members
+        ], "a launch is logged before its bytes go"
         self.sent.update({m.id: self.now for m in members})
-        self.begun.add(number)
+        self.connected.add(number)
 
-    def end(self, number, result, wait=0, ids=None, **more):
-        if number not in self.begun and result not in (R.NO_CONNECT, R.NOT_SENT):
-            life = self.starts
-            self.post(ev.Begun(number))
-            if life != self.starts:  # killed as it was logged: that call is no more
+    def end_call(self, number, result, wait=0, ids=None, **more):
+        if number not in self.connected and result not in (Result.NO_CONNECT, Result.NOT_SENT):
+            life = self.process_number
+            self.post(ev.CallConnected(number))
+            if life != self.process_number:  # killed as it was logged: that call is no more
                 return
-        call, members = self.out[number]
+        call, members = self.in_flight[number]
         ids = [m.id for m in members] if ids is None else ids
         left = [m for m in members if m.id not in ids]
-        self.out[number] = (call, left)
+        self.in_flight[number] = (call, left)
         if not left:
-            del self.out[number]
+            del self.in_flight[number]
         for i in ids:
-            if result not in (R.REFUSED, R.NO_CONNECT, R.NOT_SENT):
-                self.ran.setdefault(i, self.sent[i])
+            if result not in (Result.REFUSED, Result.NO_CONNECT, Result.NOT_SENT):
+                self.first_run_at.setdefault(i, self.sent[i])
         if wait:
-            self.waits[self.hosts[call.host].destination] = self.now + wait
+            self.retry_times[self.hosts[call.host].destination] = self.now + wait
         self.post(
-            ev.Ended(
+            ev.CallEnded(
                 number,
-                50 * MS if result is R.DELIVERED else self.now,
-                [ev.End(i, result, wait, result is R.DELIVERED, **more) for i in ids],
+                50 * MS if result is Result.DELIVERED else self.now,
+                [
+                    ev.AttemptOutcome(i, result, wait, result is Result.DELIVERED, **more)
+                    for i in ids
+                ],
             )
         )
 
     def on_append(self, effect):
         assert self.store.append([(effect.record, effect.body)])
         if effect.record["k"] == "launch":
-            self.logged = effect.record["ids"]
+            self.last_logged_ids = effect.record["ids"]
         # killed before that, it may be delivered once more where a repeat is harmless
         if effect.record["k"] == "end":
             for i in [i for i, _, over, _ in effect.record["ends"] if over]:
                 self.ended.setdefault(i, "fulfilled")
-                self.counted.setdefault(i, "fulfilled")
+                self.counted_ends.setdefault(i, "fulfilled")
 
     def on_answer(self, effect):
         self.answers[effect.id] = effect.status
         if effect.status != 202:
-            self.counted.setdefault(effect.id, "throttled" if effect.status == 503 else "faulted")
+            self.counted_ends.setdefault(
+                effect.id, "throttled" if effect.status == 503 else "faulted"
+            )
             return
         assert (
-            any(r["k"] == "taken" and r["id"] == effect.id for r in self.records())
+            any(r["k"] == "taken" and r["id"] == effect.id for r in self.read_records())
             or effect.id in self.ended
         ), "taken on before it is in the log"
-        if effect.id in self.gone:
-            self.queue.append(ev.Unheard(effect.id, effect.client))
+        if effect.id in self.gone_clients:
+            self.queue.append(ev.AnswerNotWritten(effect.id, effect.client))
         else:
-            self.owed[effect.id] = True
-            self.queue.append(ev.Heard(effect.id, effect.client))
+            self.acknowledged[effect.id] = True
+            self.queue.append(ev.AnswerWritten(effect.id, effect.client))
 
-    def records(self):
-        other, found = Store(self.folder, self.most, Disk()), []
+    def read_records(self):
+        other, found = Store(self.folder, self.max_bytes, Disk()), []
         other.replay(lambda record, body: found.append(record))
         other.close()
         return found
@@ -431,69 +493,74 @@
     def on_call(self, effect):
         host = self.hosts[effect.host]
         assert host.condition is interface.Condition.UP, "rule 3"
-        assert self.waits.get(host.destination, 0) <= self.now, "rule 6"
-        for m in effect.members:
-            row, key, due, order = self.rows[m.id]
+        assert self.retry_times.get(host.destination, 0) <= self.now, "rule 6"
+        for m in effect.callbacks:
+            row, key, due, order = self.submitted[m.id]
             assert (
-                m.id in self.owed or m.id in self.unsure
+                m.id in self.acknowledged or m.id in self.maybe_acknowledged
             ), "nothing is sent before its client heard"
-            assert m.id not in self.ended and m.until <= due, "rule 1: sent after its end"
+            assert m.id not in self.ended and m.deadline <= due, "rule 1: sent after its end"
             assert all(
-                m.id != o.id for _, ms in self.out.values() for o in ms
+                m.id != o.id for _, ms in self.in_flight.values() for o in ms
             ), "rule 2: two at once"
-            if m.id in self.ran:
+            if m.id in self.first_run_at:
                 assert row.semantics is not interface.DeliverySemantics.AT_MOST_ONCE, "rule 2"
                 assert (
                     row.semantics is interface.DeliverySemantics.IDEMPOTENT
-                    or self.now <= self.ran[m.id] + row.deduplication_window
+                    or self.now <= self.first_run_at[m.id] + row.deduplication_window
                 ), "rule 2"
-            for other, (_, its_key, _, its_order) in self.rows.items():
-                if key is not None and its_key == key and its_order < order and other in self.owed:
+            for other, (_, its_key, _, its_order) in self.submitted.items():
+                if (
+                    key is not None
+                    and its_key == key
+                    and its_order < order
+                    and other in self.acknowledged
+                ):
                     assert other in self.ended, "rule 5: an earlier one of its key is not over"
                     assert all(
-                        other != o.id for _, ms in self.out.values() for o in ms
+                        other != o.id for _, ms in self.in_flight.values() for o in ms
                     ), "rule 5: it is still out"
-        self.out[effect.number] = (effect, list(effect.members))
-        if not self.slow:
-            self.queue.append(ev.Begun(effect.number))
+        self.in_flight[effect.number] = (effect, list(effect.callbacks))
+        if not self.connects_slowly:
+            self.queue.append(ev.CallConnected(effect.number))
 
     def on_notify(self, effect):
-        row = self.rows[effect.id][0]
+        row = self.submitted[effect.id][0]
         assert (
-            not effect.denied
-            or effect.id not in self.ran
+            not effect.rejected
+            or effect.id not in self.first_run_at
             or row.semantics is not interface.DeliverySemantics.AT_MOST_ONCE
         ), "rule 2"
         self.notices[effect.id] = effect
-        self.counted.setdefault(effect.id, "throttled" if effect.denied else "faulted")
+        self.counted_ends.setdefault(effect.id, "throttled" if effect.rejected else "faulted")
 
     def answer_notices(self):
         ids, self.notices = list(self.notices), {}
         for i in ids:
             self.ended.setdefault(i, "notice")
-        self.post(ev.Noticed(ids))
+        self.post(ev.NoticesDelivered(ids))
 
     def on_abort(self, effect):
-        self.out.pop(effect.call, None)
+        self.in_flight.pop(effect.call, None)
 
     def on_notsent(self, effect):
-        assert effect.why in Refusal
+        assert effect.reason in Refusal
 
-    def on_watch(self, _):
-        self.said.append("watch")
+    def on_watchhostlist(self, _):
+        self.messages.append("watch")
 
     def on_closeidle(self, effect):
-        self.said.append(("close", effect.host))
+        self.messages.append(("close", effect.host))
 
-    def on_say(self, effect):
-        self.said.append(effect.text)
+    def on_logmessage(self, effect):
+        self.messages.append(effect.text)
 
 
-class Net:
+class NetHarness:
     """A scheduler on a clock moved by hand, and connections that are socket pairs."""
 
     def __init__(self, sockets=50):
-        self.clock = Ticks()
+        self.clock = ManualClock()
         self.scheduler, self.budget, self.events = (
             Scheduler(Kernel(self.clock)),
             Budget(sockets),
@@ -521,7 +588,7 @@
         assert self.budget.take(kind)
         return make(self.scheduler, ours, kind, self.budget, **how), theirs
 
-    def catch(self, monkeypatch):
+    def intercept_connections(self, monkeypatch):
         """Has new connections made as pairs; gives the other ends, and a list of refusals to play."""
         made, refusals = [], []
 
@@ -550,7 +617,7 @@
     return data or None
 
 
-def net_given(**given):
+def net_config_fields(**given):
     settings_given = dict(
         grades=[
             {
@@ -578,4 +645,4 @@
 
 
 def net_config(**given):
-    return config.check(net_given(**given), {})
+    return config.check(net_config_fields(**given), {})
--- a/tests/place.py
+++ b/tests/place.py
@@ -9,7 +9,7 @@
 from molehill.relay import Process
 from molehill.runtime.kernel import Kernel
 from molehill.runtime.log import Sink
-from tests.ledger import MS, Ticks, drain, net_config
+from tests.core_harness import MS, ManualClock, drain, net_config
 
 ASK = (
     b"POST /api HTTP/1.1\r\nReq-Id: %s\r\nReq-Kind: notice\r\nX-Consignee: dest=3\r\nCookie: subject=k\r\n"
@@ -23,7 +23,7 @@
     def __init__(self, folder, machine=Kernel, **given):
         """`machine(clock)`: what each process of the relay is handed; `given`: keys of its file."""
         self.given = given
-        self.folder, self.clock, self.open, self.machine = folder, Ticks(), [], machine
+        self.folder, self.clock, self.open, self.machine = folder, ManualClock(), [], machine
         self.host, self.platform = self.listener(), self.listener()
         self.start()
 
@@ -66,7 +66,7 @@
         self.relay.clients.listen()
         self.address = self.relay.clients.listener.getsockname()
         self.relay.discovery.begin()
-        self.relay.engine.post(ev.Begin())
+        self.relay.engine.post(ev.Start())
         self.relay.clients.ready = True
         self.turn()
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -7,17 +7,17 @@
 import pytest
 
 from molehill.config import ADMIN_SEATS
-from molehill.core.figures import Figures
+from molehill.core.metrics import Metrics
 from molehill.core.permission import Refusal
 from molehill.http.admin import Admin
-from tests.ledger import MS, SECOND, Net, drain
+from tests.core_harness import MS, SECOND, NetHarness, drain
 
 
 class Door:
     def __init__(self):
-        self.net, self.ready, self.figures, self.open = Net(), True, Figures(["c"]), []
+        self.net, self.ready, self.figures, self.open = NetHarness(), True, Metrics(["c"]), []
         self.admin = Admin(
-            self.net.scheduler, ("127.0.0.1", 0), lambda: self.ready, self.figures.text
+            self.net.scheduler, ("127.0.0.1", 0), lambda: self.ready, self.figures.render
         )
         self.address = self.admin.listener.getsockname()
 
@@ -89,8 +89,8 @@
 
 def test_the_page_for_operators_names_each_figure_that_the_program_prints():
     page = (Path(__file__).parent.parent / "docs/operate/daily.md").read_text()
-    figures = Figures(["C"])
+    figures = Metrics(["C"])
     figures.not_sent[Refusal.TIME_UP] = 1  # each reason has a row once it was met
-    lines = figures.text().replace("not_sent.time_up:", "not_sent.REASON:").splitlines()
+    lines = figures.render().replace("not_sent.time_up:", "not_sent.REASON:").splitlines()
     printed = {line.partition(":")[0] for line in lines}
     assert set(re.findall(r"^\| `(router\.[\w.]+)`", page, re.M)) == printed
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -14,7 +14,7 @@
 from molehill.runtime.kernel import Disk
 from molehill.runtime.stream import Stream
 from molehill.store import Store
-from tests.ledger import MS, SECOND, drain
+from tests.core_harness import MS, SECOND, drain
 from tests.place import ASK, kill
 
 PLAIN = ASK.replace(b"notice", b"plain")  # at most once, where a notice is deduplicated
@@ -97,7 +97,7 @@
     place.advance(50 * MS)
     text, how = end_of(client)
     assert text.startswith(b"HTTP/1.1 202") and text.count(b"HTTP/1.1") == 1 and how == "end"
-    assert list(place.relay.core.held) == ["id1"] and not place.relay.clients.conns
+    assert list(place.relay.core.callbacks) == ["id1"] and not place.relay.clients.conns
 
 
 def test_a_request_that_comes_once_the_sending_has_ended_is_read_away_and_never_sent_on(place):
@@ -110,7 +110,7 @@
     client.send(ASK % b"id2")
     place.advance(250 * MS)
     assert (
-        list(place.relay.core.held) == ["id1"]
+        list(place.relay.core.callbacks) == ["id1"]
         and not place.relay.clients.conns
         and place.relay.budget.used["client"] == 0
     )
@@ -142,13 +142,13 @@
         crossed
         and not text
         and ended == "reset"
-        and not place.relay.core.held
+        and not place.relay.core.callbacks
         and not place.relay.clients.conns
     )
     again = place.client()
     again.send(ASK % b"id1")
     place.hear(again, b"HTTP/1.1 202")
-    assert list(place.relay.core.held) == ["id1"]
+    assert list(place.relay.core.callbacks) == ["id1"]
 
 
 @pytest.mark.parametrize("lies", ["whole", "all but a byte"])
@@ -169,7 +169,7 @@
     place.advance(100 * MS)
     text, how = end_of(client)
     assert place.relay.scheduler.stopped
-    assert (list(place.relay.core.held), text.startswith(b"HTTP/1.1 202")) in (
+    assert (list(place.relay.core.callbacks), text.startswith(b"HTTP/1.1 202")) in (
         (["id1"], True),
         ([], False),
     )
@@ -186,9 +186,9 @@
     place.open.remove(client)
     place.relay.engine.thaw()
     place.advance(50 * MS)
-    assert not place.relay.core.held and not place.relay.hosts.out
+    assert not place.relay.core.callbacks and not place.relay.hosts.out
     kill(place)
-    assert not place.relay.core.held, "nor does the next process have it"
+    assert not place.relay.core.callbacks, "nor does the next process have it"
 
 
 @pytest.mark.parametrize("span,left", [(b"900", "owed"), (b"9000", None)])
@@ -212,10 +212,10 @@
         pass
     place.relay.engine.thaw()
     place.turn()
-    assert place.relay.core.held["id1"].state == "taken"
+    assert place.relay.core.callbacks["id1"].state == "taken"
     place.advance(1100 * MS)
     assert not place.relay.hosts.out and not place.relay.clients.conns
-    assert [c.state for c in place.relay.core.held.values()] == [left] * bool(
+    assert [c.state for c in place.relay.core.callbacks.values()] == [left] * bool(
         left
     ), "ended at its time, or the client's again"
 
@@ -254,15 +254,15 @@
         again = place.accept(place.host)
         assert crossed and b"Req-Id: id1" in place.hear(again, b"\r\n\r\nab")
         assert (
-            place.relay.core.held["id1"].launches == 2 - proven
-            and (place.relay.core.held["id1"].ran_at is None) == proven
+            place.relay.core.callbacks["id1"].attempts == 2 - proven
+            and (place.relay.core.callbacks["id1"].ran_at is None) == proven
         )
     else:
         place.advance(500 * MS)
         assert (
             crossed
-            and place.relay.core.held["id1"].state == "owed"
-            and not place.relay.core.held["id1"].denied
+            and place.relay.core.callbacks["id1"].state == "owed"
+            and not place.relay.core.callbacks["id1"].rejected
         )
         assert list(place.relay.notices.waiting) == ["id1"]
 
@@ -280,22 +280,22 @@
         if meanwhile == "time up":
             place.clock.now += 5 * SECOND
         elif meanwhile == "told to wait":
-            core.hosts.waits[core._route(core.hosts["h1"])] = place.clock.now + 3 * SECOND
+            core.hosts.retry_times[core._route(core.hosts["h1"])] = place.clock.now + 3 * SECOND
         else:
             hosts = (
                 []
                 if meanwhile == "removed"
                 else [ev.Host("h1", core.hosts["h1"].address, 0, 0, 3, it.Condition.DRAINING, 1.0)]
             )
-            place.relay.engine.post(ev.Listed(it.ListScope.WHOLE, hosts))
+            place.relay.engine.post(ev.HostListReceived(it.ListScope.WHOLE, hosts))
 
     up = once(monkeypatch, Stream, "connect", happens, lambda stream: stream.kind == "host")
     held_out(place, PLAIN)
     host = place.accept(place.host)
     place.advance(100 * MS)
     assert up and drain(host) is None, "closed, and nothing was written on it"
-    callback = core.held["id1"]
-    assert callback.ran_at is None and callback.launches == 0
+    callback = core.callbacks["id1"]
+    assert callback.ran_at is None and callback.attempts == 0
     assert (callback.state == "owed") == (meanwhile == "time up")
 
 
@@ -322,7 +322,9 @@
     kill(place)
     _, text = comes(place, place.host, b"\r\n\r\nab")
     assert (
-        not drain(silent) and b"Req-Id: id1" in text and place.relay.core.held["id1"].launches == 1
+        not drain(silent)
+        and b"Req-Id: id1" in text
+        and place.relay.core.callbacks["id1"].attempts == 1
     )
 
 
@@ -340,8 +342,8 @@
     kill(place)
     place.advance(200 * MS)
     assert (
-        place.relay.core.held["id1"].state == "owed"
-        and not place.relay.core.held["id1"].denied
+        place.relay.core.callbacks["id1"].state == "owed"
+        and not place.relay.core.callbacks["id1"].rejected
         and not place.relay.hosts.out
     )
 
@@ -403,20 +405,21 @@
         if lives < 2:  # read, and not answered
             place.relay.shutdown.begin()
             place.advance(3600 * MS)
-            assert place.relay.scheduler.stopped and list(place.relay.core.held) == ["id1"]
+            assert place.relay.scheduler.stopped and list(place.relay.core.callbacks) == ["id1"]
             kill(place)
     sock.send(b"HTTP/1.1 204 No Content\r\n\r\n")
     place.advance(50 * MS)
     assert (
-        all(b'"ref":"id1","result":"dead"' in text for text in texts) and not place.relay.core.held
+        all(b'"ref":"id1","result":"dead"' in text for text in texts)
+        and not place.relay.core.callbacks
     )
     kill(place)
-    assert not place.relay.core.held
+    assert not place.relay.core.callbacks
 
 
 def forget_list(place):
     """Has the log say nothing of hosts, as one of the version before it had them in it."""
-    rows, store = [], Store(str(place.folder), place.relay.store.most, Disk())
+    rows, store = [], Store(str(place.folder), place.relay.store.max_bytes, Disk())
     store.read()
     store.replay(lambda record, body: rows.append((record, body)))
     assert store.rewrite([row for row in rows if row[0]["k"] != "list"])
@@ -429,7 +432,11 @@
 ):
     """Danger: discovery is down at the restart, and what was taken on is turned away for a destination not heard of yet."""
     place.relay.hosts.call = lambda call: place.relay.engine.post(
-        ev.Ended(call.number, 0, [ev.End(m.id, Result.NOT_SENT, unsent=True) for m in call.members])
+        ev.CallEnded(
+            call.number,
+            0,
+            [ev.AttemptOutcome(m.id, Result.NOT_SENT, unsent=True) for m in call.callbacks],
+        )
     )
     held_out(place, ask.replace(b"Req-Id", b"Req-Deadline-Ms: 12000\r\nReq-Id"))
     full = place.config()
@@ -437,7 +444,7 @@
     forget_list(place)
     kill(place)
     place.advance(2 * SECOND)
-    assert place.relay.core.held["id1"].state == "held" and not place.relay.notices.waiting
+    assert place.relay.core.callbacks["id1"].state == "held" and not place.relay.notices.waiting
     watch, _ = comes(place, place.platform, b"/registry")
     body = json.dumps({**full.known, "snapshot": True, "index": 9}).encode()
     watch.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -157,14 +157,14 @@
 
 @pytest.mark.parametrize("end", ["fulfilled", "throttled", "faulted"])
 def test_a_figure_that_counts_wrongly_is_found(monkeypatch, end):
-    count = Core._count
+    count = Core._count_end
 
     def twice(self, callback, how):
         count(self, callback, how)
         if how == end:
             count(self, callback, how)
 
-    monkeypatch.setattr(Core, "_count", twice)
+    monkeypatch.setattr(Core, "_count_end", twice)
     verdict = sweep.play_one(
         reloads(Fault("shut", 100, "h2-0", 2500), Fault("shut", 100, "h2-1", 2500))
     )
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -11,7 +11,7 @@
 from molehill.soak.history import Answered, Call, HandedIn, History, Notice, Process, RigLate
 from molehill.soak.oracle import judge, sent_after_end
 from molehill.soak.plan import HOSTS, Drain, End, Outage, Plan, drawn
-from tests.ledger import MS, SECOND, drain
+from tests.core_harness import MS, SECOND, drain
 from tests.place import ASK, Place, kill
 
 
@@ -103,7 +103,7 @@
     place.relay.scheduler.at(place.clock.now + SECOND, clients.answer, ev.Answer(conn, "id1", 202))
     place.advance(2 * SECOND)
     assert b"HTTP/1.1 202" in drain(client)
-    assert [type(event) for event in posted] == [ev.Arrived, ev.Heard]
+    assert [type(event) for event in posted] == [ev.Submitted, ev.AnswerWritten]
 
 
 def test_a_disk_that_takes_its_time_for_each_write_makes_no_answer_and_no_end_late(tmp_path):
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -13,13 +13,13 @@
 from molehill import interface, log_clock
 from molehill.config import ConfigError
 from molehill.core import events as ev
-from molehill.log_clock import Base
+from molehill.log_clock import EpochSource
 from molehill.relay import Process, Start
 from molehill.runtime.kernel import Disk, Kernel
 from molehill.runtime.log import Sink
 from molehill.runtime.stream import Stream
 from molehill.store import Store
-from tests.ledger import MS, SECOND, Ticks, drain, net_config
+from tests.core_harness import MS, SECOND, ManualClock, drain, net_config
 from tests.place import ASK, Place, kill
 from tests.test_crossings import comes
 
@@ -89,13 +89,13 @@
             taken.append(f"after{number}")
     disk.failing = {}
     kill(failing)
-    assert list(failing.relay.core.held) == ["before", *taken]
+    assert list(failing.relay.core.callbacks) == ["before", *taken]
 
 
 @pytest.fixture
 def stepped(tmp_path, monkeypatch):
     """A relay on the kernel's clocks, both moved by hand; `wall[0]`: how far the wall clock is off."""
-    clock, wall = Ticks(), [1_700_000_000 * SECOND]
+    clock, wall = ManualClock(), [1_700_000_000 * SECOND]
     monkeypatch.setattr(time, "monotonic_ns", clock)
     monkeypatch.setattr(time, "time_ns", lambda: clock.now + wall[0])
     place = Place(tmp_path, lambda _: Kernel())
@@ -215,7 +215,7 @@
     disk.failing = dict.fromkeys(calls, errno.EIO)
     Timer(0.3, disk.failing.clear).start()
     process = begun(tmp_path, disk, signals[0])
-    assert time.monotonic() >= until - 0.01 and process.core.rests and not process.can_serve()
+    assert time.monotonic() >= until - 0.01 and process.core.cooldowns and not process.can_serve()
     assert "waiting for the disk" in capfd.readouterr().err
     process.store.close()
 
@@ -249,13 +249,16 @@
     before = failing.relay.hosts.counts["connected"]
     failing.advance(600 * MS)
     assert failing.relay.hosts.counts["connected"] - before <= 1 and list(
-        failing.relay.core.held
+        failing.relay.core.callbacks
     ) == ["id2"]
     disk.left, disk.failing = None, {}
     failing.advance(200 * MS)
     assert b"Req-Id: id2" in failing.hear(host, b"\r\n\r\nab")
     kill(failing)
-    assert list(failing.relay.core.held) == ["id2"] and "id1" in failing.relay.core.done
+    assert (
+        list(failing.relay.core.callbacks) == ["id2"]
+        and "id1" in failing.relay.core.recently_completed
+    )
 
 
 @pytest.mark.parametrize("works_again", [True, False])
@@ -285,7 +288,7 @@
 ):
     """Danger: turned away by this process, failed by the next one, which finds it untried and late."""
     client, disk, told, platforms = failing.client(), failing.disk, b"", []
-    failing.relay.engine.post(ev.Hold(True))  # untried
+    failing.relay.engine.post(ev.PauseCalls(True))  # untried
     client.send(ASK.replace(b"Content", b"Req-Deadline-Ms: 900\r\nContent") % b"id1")
     failing.hear(client, b"HTTP/1.1 202")
     due = failing.clock.now + 900 * MS
@@ -308,7 +311,7 @@
     """The effects of an end that turns a callback away, of which the module knows."""
     core.effects = []
     core.inbox.append(interface.CallbackWithdrawn(ident))
-    core._end_callback(core.held[ident], True, 0)
+    core._end_callback(core.callbacks[ident], True, 0)
     return core.effects
 
 
@@ -332,14 +335,14 @@
             },
             b"x",
         )
-    core.load_spoilt(
+    core.load_corrupt(
         b"\x00\x00\x00\x40\x01\x02\x03\x04{"
         + spoilt
         + b":["
         + (b'"a"' if spoilt == b'"zone"' else b"")
         + b"]"
     )
-    assert [c.id for c in core.held.values() if c.sent is None] == untried
+    assert [c.id for c in core.callbacks.values() if c.current_attempt is None] == untried
 
 
 NOW, WALL = 50 * SECOND, 1_700_000_000 * SECOND
@@ -359,32 +362,32 @@
 @pytest.mark.parametrize(
     "lines, base, epoch",
     [
-        ([], Base.FIRST, WALL - NOW),
-        ([clock_line()], Base.SAME_BOOT, 7),
-        ([clock_line(), b'{"k":"end","ends":[],"at":%d}' % (7 + NOW)], Base.SAME_BOOT, 7),
-        ([clock_line(boot="other")], Base.REBOOTED, WALL - NOW),
+        ([], EpochSource.NEW_LOG, WALL - NOW),
+        ([clock_line()], EpochSource.SAME_BOOT, 7),
+        ([clock_line(), b'{"k":"end","ends":[],"at":%d}' % (7 + NOW)], EpochSource.SAME_BOOT, 7),
+        ([clock_line(boot="other")], EpochSource.REBOOTED, WALL - NOW),
         # the wall clock was set back meanwhile
-        ([clock_line(boot="other", at=WALL + HOUR)], Base.REBOOTED, WALL + HOUR - NOW),
+        ([clock_line(boot="other", at=WALL + HOUR)], EpochSource.REBOOTED, WALL + HOUR - NOW),
         # of a version without clock records
-        ([b'{"k":"launch","ids":[],"at":%d}' % (WALL - SECOND)], Base.UNKNOWN, WALL - NOW),
-        ([clock_line(epoch=None)], Base.UNKNOWN, WALL - NOW),
-        ([clock_line(epoch=True)], Base.UNKNOWN, WALL - NOW),
-        ([clock_line(boot="")], Base.UNKNOWN, WALL - NOW),
+        ([b'{"k":"launch","ids":[],"at":%d}' % (WALL - SECOND)], EpochSource.UNKNOWN, WALL - NOW),
+        ([clock_line(epoch=None)], EpochSource.UNKNOWN, WALL - NOW),
+        ([clock_line(epoch=True)], EpochSource.UNKNOWN, WALL - NOW),
+        ([clock_line(boot="")], EpochSource.UNKNOWN, WALL - NOW),
         # ahead of a clock that can't run back
-        ([clock_line(at=7 + NOW + HOUR)], Base.UNKNOWN, WALL - NOW),
+        ([clock_line(at=7 + NOW + HOUR)], EpochSource.UNKNOWN, WALL - NOW),
     ],
 )
 def test_the_log_s_clock_goes_on_or_is_found_anew_by_the_wall_clock(lines, base, epoch):
-    assert log_clock.find(lines, Machine) == log_clock.LogClock(epoch, base)
+    assert log_clock.find_clock(lines, Machine) == log_clock.LogClock(epoch, base)
 
 
 def test_times_go_to_the_log_and_back_and_all_that_stands_in_it_is_moved(place):
     """Danger: a time that is not moved with the others means another moment to the next process."""
-    clock = log_clock.LogClock(7, Base.SAME_BOOT)
+    clock = log_clock.LogClock(7, EpochSource.SAME_BOOT)
     client = place.client()
     hand_in(place, client, b"id1")
     place.hear(place.accept(place.host), b"\r\n\r\nab")
-    place.relay.core.rests["k"], place.relay.core.hosts.away["h1"] = (
+    place.relay.core.cooldowns["k"], place.relay.core.hosts.ejected["h1"] = (
         place.clock.now,
         place.clock.now,
     )
@@ -432,9 +435,9 @@
     client = place.client()
     hand_in(place, client, b"id1")
     place.advance(500 * MS)
-    held, module = place.relay.core.held["id1"], place.relay.core.module
+    held, module = place.relay.core.callbacks["id1"], place.relay.core.module
     assert (
-        held.launches == (held.sent is not None)
+        held.attempts == (held.current_attempt is not None)
         and [endpoint.state for endpoint in module.state.endpoints.values()] == ["open"]
         and [endpoint.failure_share for endpoint in module.state.endpoints.values()] == [0.0]
     )
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -33,7 +33,7 @@
     Who,
 )
 from molehill.membership.wire import HEAD, KINDS, MOST, STANDINGS, STATES, Unread, Wire
-from tests.ledger import net_given
+from tests.core_harness import net_config_fields
 from tests.members import Fleet, agreed, rough
 
 SECOND = 1000 * MS
@@ -373,7 +373,7 @@
 
 def fleet_given(**rows):
     return {
-        **net_given(),
+        **net_config_fields(),
         "fleet": {
             "listen": "127.0.0.1:7000",
             "seeds": {"b": "127.0.0.1:7001"},
@@ -415,9 +415,10 @@
     made = configuration.check(rows, {"ROUTER_STATE": "x"})
     assert (
         made.fleet.keys == [b"\xaa" * 16, b"\xbb" * 16]
-        and made.sockets == configuration.check(net_given(), {"ROUTER_STATE": "x"}).sockets - 6
+        and made.sockets
+        == configuration.check(net_config_fields(), {"ROUTER_STATE": "x"}).sockets - 6
     )
-    assert configuration.check(net_given(), {"ROUTER_STATE": "x"}).fleet is None
+    assert configuration.check(net_config_fields(), {"ROUTER_STATE": "x"}).fleet is None
     assert (configuration.ROUND, configuration.ALONE_AFTER) == (
         Settings().round,
         Settings().alone_after,
@@ -434,7 +435,7 @@
 
     before = load(fleet_given(seeds={"b": "127.0.0.1:7001", "c": "127.0.0.1:7002"}))
     assert load(fleet_given(), before).fleet.seeds == {"b": ("127.0.0.1", 7001)}
-    assert "fleet" in configuration.waiting(load(net_given()), before)
+    assert "fleet" in configuration.waiting(load(net_config_fields()), before)
 
 
 # In relays
