--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -7,14 +7,14 @@
 
 from molehill import interface
 from molehill.core import events as ev
-from molehill.core.figures import Figures
+from molehill.core.metrics import Metrics
 from molehill.core.permission import Refusal
 from molehill.http import discovery, hosts, notices
 from molehill.http.clients import ROOM, Clients
 from molehill.runtime import stream as stream_module
 from molehill.runtime.scheduler import CUT, LATE, READ, READY
 from molehill.runtime.stream import Broken
-from tests.ledger import MS, SECOND, Net, R, drain, net_config
+from tests.core_harness import MS, SECOND, NetHarness, Result, drain, net_config
 
 ASK = (
     b"POST /api HTTP/1.1\r\nReq-Id: %s\r\nReq-Kind: notice\r\nCookie: subject=k1\r\nX-Consignee: dest=7\r\n"
@@ -26,7 +26,7 @@
 
 
 def test_waits_end_by_readiness_by_time_and_by_being_cut():
-    net, came = Net(), []
+    net, came = NetHarness(), []
     ours, theirs = socket.socketpair()
 
     def reader():
@@ -47,7 +47,7 @@
 
 
 def test_a_task_that_fails_ends_alone_and_returns_to_the_loop(monkeypatch):
-    net, done = Net(), []
+    net, done = NetHarness(), []
     monkeypatch.setattr(
         "molehill.runtime.scheduler.check_invariant",
         lambda condition, name, **facts: done.append(name) if not condition else True,
@@ -66,7 +66,7 @@
 
 
 def test_a_fault_of_the_loop_itself_does_not_end_it(monkeypatch):
-    net, broken = Net(), []
+    net, broken = NetHarness(), []
     monkeypatch.setattr(
         "molehill.runtime.scheduler.check_invariant",
         lambda condition, name, **facts: broken.append(name) if not condition else True,
@@ -82,7 +82,7 @@
 
 
 def test_work_that_has_to_go_on_is_begun_anew(monkeypatch):
-    net, tries, broken = Net(), [], []
+    net, tries, broken = NetHarness(), [], []
     monkeypatch.setattr(
         "molehill.runtime.scheduler.check_invariant",
         lambda condition, name, **facts: broken.append(name) if not condition else True,
@@ -99,14 +99,14 @@
 
 
 def test_what_is_more_than_a_buffer_holds_closes_its_connection_and_not_the_process_that_takes_it_over():
-    net = Net()
+    net = NetHarness()
     stream, theirs = net.pair()
     stream.refill(b"x" * (stream.buffer.most + 1))
     assert not stream.open and net.budget.total() == 0 and drain(theirs) is None
 
 
 def test_a_full_budget_closes_idle_connections_those_to_hosts_first():
-    net, closed = Net(sockets=3), []
+    net, closed = NetHarness(sockets=3), []
 
     def idler(kind):
         def close():
@@ -135,7 +135,7 @@
 
 class Door:
     def __init__(self, **given):
-        self.net = Net()
+        self.net = NetHarness()
         self.clients = Clients(
             self.net.scheduler, net_config(**given), self.net.budget, self.net.post
         )
@@ -154,7 +154,7 @@
         return drain(sock)
 
     def answer(self, arrived, status=202, wait=0):
-        self.clients.answer(ev.Answer(arrived.client, arrived.fresh.id, status, wait))
+        self.clients.answer(ev.Answer(arrived.client, arrived.submission.id, status, wait))
         self.net.settle()
 
 
@@ -169,8 +169,15 @@
     )
     assert door.say(sock, ask[-1:]) == b""
     (arrived,) = door.net.events
-    fresh = arrived.fresh
-    assert (fresh.id, fresh.category, fresh.key, fresh.destination, fresh.mark, fresh.body) == (
+    fresh = arrived.submission
+    assert (
+        fresh.id,
+        fresh.callback_class,
+        fresh.key,
+        fresh.destination,
+        fresh.idempotency_key,
+        fresh.body,
+    ) == (
         "id1",
         0,
         "k1",
@@ -178,10 +185,10 @@
         "m",
         b"abc",
     )
-    assert fresh.due == door.net.clock() + 480 * MS
+    assert fresh.deadline == door.net.clock() + 480 * MS
     door.answer(arrived)
     assert drain(sock).startswith(b"HTTP/1.1 202 ") and door.net.events[1:] == [
-        ev.Heard("id1", arrived.client)
+        ev.AnswerWritten("id1", arrived.client)
     ]
     door.say(sock, ASK % b"id2")
     door.answer(door.net.events[-1], 503, 1234 * MS)
@@ -198,7 +205,7 @@
     # the second as TCP shows it: its end has come, yet bytes still go
     leave(sock)
     door.answer(door.net.events[0])
-    assert type(door.net.events[1]) is ev.Unheard and not door.clients.conns
+    assert type(door.net.events[1]) is ev.AnswerNotWritten and not door.clients.conns
     assert door.net.budget.total() == 0
 
 
@@ -252,7 +259,7 @@
     door.clients.close_idle()
     door.net.settle()
     assert drain(silent) is None and len(door.clients.conns) == 3
-    for event in [event for event in door.net.events if type(event) is ev.Arrived]:
+    for event in [event for event in door.net.events if type(event) is ev.Submitted]:
         door.answer(event)
     for asked in (sock, idle):
         assert b"Connection: close" in drain(asked) and drain(asked) is None
@@ -264,7 +271,7 @@
     door.clients.close_unfinished()
     door.net.settle()
     assert not door.clients.conns and [
-        e.fresh.id for e in door.net.events if type(e) is ev.Arrived
+        e.submission.id for e in door.net.events if type(e) is ev.Submitted
     ] == ["id1", "id3"]
 
 
@@ -288,7 +295,7 @@
         door.net.clock.now += stood
         door.net.settle()
         arrived = door.net.events[-1]
-        assert arrived.fresh.due == door.net.clock() - counted + 480 * MS
+        assert arrived.submission.deadline == door.net.clock() - counted + 480 * MS
         door.answer(arrived)
         drain(sock)
     assert door.net.scheduler.most_stood == 5 * SECOND, "the worst is kept for whoever tells it"
@@ -315,7 +322,7 @@
     door.net.scheduler.spawn(stand, not kept)
     sent = door.net.clock()
     door.net.settle()
-    assert door.net.events[-1].fresh.due == sent + 480 * MS
+    assert door.net.events[-1].submission.deadline == sent + 480 * MS
 
 
 def test_a_request_sent_late_in_a_long_turn_is_not_counted_as_sent_at_its_begin():
@@ -333,7 +340,7 @@
     for turn in range(6):
         door.net.scheduler.spawn(work, turn == 3)
     door.net.settle()
-    due = door.net.events[-1].fresh.due
+    due = door.net.events[-1].submission.deadline
     assert sent[0] + 450 * MS <= due <= sent[0] + 480 * MS
 
 
@@ -345,7 +352,7 @@
     for since, counted in ((0, 400 * MS), (900 * MS, 400 * MS), (200 * MS, 0)):
         door.net.advance(since)
         door.say(sock, ASK % b"id%d" % since)
-        assert door.net.events[-1].fresh.due == door.net.clock() - counted + 480 * MS
+        assert door.net.events[-1].submission.deadline == door.net.clock() - counted + 480 * MS
         door.answer(door.net.events[-1])
         drain(sock)
 
@@ -367,13 +374,13 @@
     assert not door.net.events
     door.net.budget.most = 50
     door.net.advance(50 * MS, step=5 * MS)
-    assert came + 480 * MS <= door.net.events[-1].fresh.due + 5 * MS <= came + 500 * MS
+    assert came + 480 * MS <= door.net.events[-1].submission.deadline + 5 * MS <= came + 500 * MS
     door.answer(door.net.events[-1])
     door.net.settle()
     drain(late)
     door.say(late, ASK % b"next")
     assert (
-        door.net.events[-1].fresh.due == door.net.clock() + 480 * MS
+        door.net.events[-1].submission.deadline == door.net.clock() + 480 * MS
     ), "only its first request waited"
     late.close()
     door.clients.listener.close()
@@ -384,7 +391,7 @@
     sock = door.connect()
     door.say(sock, ASK % b"id1")
     door.net.advance(1100 * MS)
-    assert type(door.net.events[1]) is ev.Unheard
+    assert type(door.net.events[1]) is ev.AnswerNotWritten
     assert drain(sock).startswith(
         b"HTTP/1.1 503 "
     ), "withdrawn, it has surely not run; closed unanswered, it is lost"
@@ -551,26 +558,28 @@
 
 class Calls:
     def __init__(self, monkeypatch):
-        self.net, self.refused = Net(), None
-        self.made, self.refusals = self.net.catch(monkeypatch)
+        self.net, self.refused = NetHarness(), None
+        self.made, self.refusals = self.net.intercept_connections(monkeypatch)
         self.hosts = hosts.Hosts(
             self.net.scheduler,
             net_config(),
             self.net.budget,
             self.post,
             lambda *_: self.refused,
-            Figures(()),
+            Metrics(()),
         )
         self.serial, self.on_begun = 0, lambda call: None
 
     def post(self, event):
-        if type(event) is ev.Begun:
+        if type(event) is ev.CallConnected:
             return self.on_begun(event.call)
         self.net.post(event)
-        if type(event) is ev.HostDone:
+        if type(event) is ev.HostFinishedReading:
             return
         # whatever did not go tells why, and nothing else does
-        assert all((end.result is R.NOT_SENT) is (end.why is not None) for end in event.ends)
+        assert all(
+            (end.result is Result.NOT_SENT) is (end.reason is not None) for end in event.outcomes
+        )
 
     def call(self, *ids, bundle=False, span=2 * SECOND, host="h1"):
         self.serial += 1
@@ -581,7 +590,7 @@
                 host,
                 ("127.0.0.1", 9),
                 bundle,
-                [ev.Member(i, f"m-{i}", i.encode() * 2, until) for i in ids or ["a"]],
+                [ev.OutgoingCallback(i, f"m-{i}", i.encode() * 2, until) for i in ids or ["a"]],
             )
         )
         self.net.settle()
@@ -628,7 +637,7 @@
     calls.on_begun = begun
     calls.refusals.append(Broken("refused"))
     calls.call()
-    assert not seen and [e.ends[0].result for e in calls.net.events] == [R.NO_CONNECT]
+    assert not seen and [e.outcomes[0].result for e in calls.net.events] == [Result.NO_CONNECT]
     calls.call()
     assert seen == [(2, 1, b"")] and bool(drain(calls.made[-1])) is logged
     assert len(calls.net.events) == 1 and calls.net.budget.total() == logged
@@ -646,61 +655,73 @@
 
     monkeypatch.setattr("molehill.runtime.stream.opened", late)
     calls.call(span=2 * SECOND)
-    assert [(e.ends[0].result, e.ends[0].unsent) for e in calls.net.events] == [(R.NOT_SENT, True)]
+    assert [(e.outcomes[0].result, e.outcomes[0].unsent) for e in calls.net.events] == [
+        (Result.NOT_SENT, True)
+    ]
     assert drain(calls.made[0]) is None and calls.net.budget.total() == 0
 
 
 @pytest.mark.parametrize(
     "reply,expected",
     [
-        (answered(200, b"Srv-Load: x0=0.4,x1=25"), (R.DELIVERED, 0, True, False, 25.0, 0.4)),
-        (answered(500), (R.ERROR, 0, False, False, 0.0)),
-        (answered(429, b"Retry-After: 1.25"), (R.REFUSED, 1250 * MS, False, False, 0.0)),
-        (answered(503, b"Retry-After: 2"), (R.REFUSED, 2 * SECOND, False, False, 0.0)),
-        (answered(503, b"Retry-After: soon"), (R.REFUSED, 0, False, False, 0.0)),
-        (answered(503, b"X-Line-Busy: 1"), (R.NOT_SENT, 0, False, False, 0.0)),
-        (answered(504), (R.NOT_SENT, 0, False, True, 0.0)),
-        (answered(410), (R.NOT_SENT, 0, True, False, 0.0)),
-        (answered(413), (R.REFUSED, 0, False, False, 0.0)),
-        (answered(302), (R.ERROR, 0, False, False, 0.0)),
-        (b"HTTP/1.1 100 Continue\r\n\r\n" + answered(200), (R.DELIVERED, 0, True, False, 0.0)),
+        (answered(200, b"Srv-Load: x0=0.4,x1=25"), (Result.DELIVERED, 0, True, False, 25.0, 0.4)),
+        (answered(500), (Result.ERROR, 0, False, False, 0.0)),
+        (answered(429, b"Retry-After: 1.25"), (Result.REFUSED, 1250 * MS, False, False, 0.0)),
+        (answered(503, b"Retry-After: 2"), (Result.REFUSED, 2 * SECOND, False, False, 0.0)),
+        (answered(503, b"Retry-After: soon"), (Result.REFUSED, 0, False, False, 0.0)),
+        (answered(503, b"X-Line-Busy: 1"), (Result.NOT_SENT, 0, False, False, 0.0)),
+        (answered(504), (Result.NOT_SENT, 0, False, True, 0.0)),
+        (answered(410), (Result.NOT_SENT, 0, True, False, 0.0)),
+        (answered(413), (Result.REFUSED, 0, False, False, 0.0)),
+        (answered(302), (Result.ERROR, 0, False, False, 0.0)),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + answered(200), (Result.DELIVERED, 0, True, False, 0.0)),
         (
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x\r\nabc\r\n0\r\nA: b\r\n\r\n",
-            (R.DELIVERED, 0, True, False, 0.0),
+            (Result.DELIVERED, 0, True, False, 0.0),
         ),
         (
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
-            (R.DELIVERED, 0, True, False, 0.0),
+            (Result.DELIVERED, 0, True, False, 0.0),
         ),
         (
             b"HTTP/1.1 503 No\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabcd\r\n0\r\n\r\n",
-            (R.RESET, 0, False, False, 0.0),
+            (Result.RESET, 0, False, False, 0.0),
         ),
         (
             b"HTTP/1.1 429 No\r\nContent-Length: 5\r\nContent-Length: 0\r\n\r\n",
-            (R.RESET, 0, False, False, 0.0),
+            (Result.RESET, 0, False, False, 0.0),
         ),
         (
             b"HTTP/1.1 410 Gone\r\nContent-Length: 3000000000\r\n\r\n",
-            (R.RESET, 0, False, False, 0.0),
+            (Result.RESET, 0, False, False, 0.0),
+        ),
+        (b"HTTP/1.1 100 Go\r\n\r\n" * 17 + answered(503), (Result.RESET, 0, False, False, 0.0)),
+        (b"ICY 200 OK\r\nContent-Length: 0\r\n\r\n", (Result.RESET, 0, False, False, 0.0)),
+        (answered(200, b"Srv-Load: x0=??,x1=25"), (Result.DELIVERED, 0, True, False, 0.0)),
+        (answered(200, b"Srv-Load: x0=0.5,x1=2_5"), (Result.DELIVERED, 0, True, False, 0.0)),
+        (answered(200, b"Srv-Load: x1=-25"), (Result.DELIVERED, 0, True, False, 0.0)),
+        (
+            b"HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n",
+            (Result.DELIVERED, 0, True, False, 0.0),
         ),
-        (b"HTTP/1.1 100 Go\r\n\r\n" * 17 + answered(503), (R.RESET, 0, False, False, 0.0)),
-        (b"ICY 200 OK\r\nContent-Length: 0\r\n\r\n", (R.RESET, 0, False, False, 0.0)),
-        (answered(200, b"Srv-Load: x0=??,x1=25"), (R.DELIVERED, 0, True, False, 0.0)),
-        (answered(200, b"Srv-Load: x0=0.5,x1=2_5"), (R.DELIVERED, 0, True, False, 0.0)),
-        (answered(200, b"Srv-Load: x1=-25"), (R.DELIVERED, 0, True, False, 0.0)),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n", (R.DELIVERED, 0, True, False, 0.0)),
-        (b"HTTP/1.1 200 OK\r\nno header\r\n\r\n", (R.DELIVERED, 0, True, False, 0.0)),
-        (b"HTTP/1.1 503 No\r\nno header\r\n\r\n", (R.RESET, 0, False, False, 0.0)),
-        (b"gibberish\r\n\r\n", (R.RESET, 0, False, False, 0.0)),
+        (b"HTTP/1.1 200 OK\r\nno header\r\n\r\n", (Result.DELIVERED, 0, True, False, 0.0)),
+        (b"HTTP/1.1 503 No\r\nno header\r\n\r\n", (Result.RESET, 0, False, False, 0.0)),
+        (b"gibberish\r\n\r\n", (Result.RESET, 0, False, False, 0.0)),
     ],
 )
 def test_each_answer_is_the_outcome_that_the_protocol_names(monkeypatch, reply, expected):
     calls = Calls(monkeypatch)
     calls.call()
     event = calls.reply(reply)
-    (end,) = event.ends
-    assert (end.result, end.wait, end.closed, end.spent, event.told_rate, event.told_left) == (
+    (end,) = event.outcomes
+    assert (
+        end.result,
+        end.retry_after,
+        end.completed,
+        end.attempts_exhausted,
+        event.advertised_rate,
+        event.advertised_left,
+    ) == (
         *expected,
         None,
     )[:6]
@@ -710,7 +731,13 @@
 
 @pytest.mark.parametrize(
     "status,result",
-    [(200, R.DELIVERED), (500, R.ERROR), (503, R.RESET), (410, R.RESET), (504, R.RESET)],
+    [
+        (200, Result.DELIVERED),
+        (500, Result.ERROR),
+        (503, Result.RESET),
+        (410, Result.RESET),
+        (504, Result.RESET),
+    ],
 )
 @pytest.mark.parametrize("cut", [True, False])
 def test_half_an_answer_proves_nothing_but_a_200_and_the_launch_is_out_till_its_end(
@@ -727,8 +754,8 @@
         calls.net.advance(300 * MS)
         assert bool(calls.net.events) == (status in (200, 500))
         calls.net.advance(1800 * MS)
-        result = R.TIMEOUT if result is R.RESET else result
-    assert [e.ends[0].result for e in calls.net.events] == [result]
+        result = Result.TIMEOUT if result is Result.RESET else result
+    assert [e.outcomes[0].result for e in calls.net.events] == [result]
     assert not calls.hosts.idle and calls.net.budget.total() == 0
 
 
@@ -749,7 +776,9 @@
     send = stream.send
     stream.send = lambda data, until: (send(data, until), calls.made[2].send(answered(200)))
     calls.call("d")  # a copy that crosses the next request is no answer to it
-    assert [e.ends[0].result for e in calls.net.events[3:]] == [R.RESET] and not stream.open
+    assert [e.outcomes[0].result for e in calls.net.events[3:]] == [
+        Result.RESET
+    ] and not stream.open
 
 
 @pytest.mark.parametrize("span", [SECOND, 2 * SECOND])
@@ -759,18 +788,18 @@
     calls = Calls(monkeypatch)
     calls.refusals.append(hosts.Late())
     calls.call(span=span)
-    assert [(e.ends[0].result, e.ends[0].unsent) for e in calls.net.events] == [
-        (R.NO_CONNECT, False)
+    assert [(e.outcomes[0].result, e.outcomes[0].unsent) for e in calls.net.events] == [
+        (Result.NO_CONNECT, False)
     ]
 
 
 @pytest.mark.parametrize(
     "sent,result",
     [
-        (b"", R.RESET),
-        (b"HTTP/1.1 20", R.RESET),
-        (b"HTTP/1.1 200 OK\r\n", R.DELIVERED),
-        (b"HTTP/1.1 500 X\r\n", R.RESET),
+        (b"", Result.RESET),
+        (b"HTTP/1.1 20", Result.RESET),
+        (b"HTTP/1.1 200 OK\r\n", Result.DELIVERED),
+        (b"HTTP/1.1 500 X\r\n", Result.RESET),
     ],
 )
 def test_a_connection_that_breaks_after_the_last_byte_is_a_reset_unless_200_was_written(
@@ -779,7 +808,7 @@
     calls = Calls(monkeypatch)
     calls.call()
     event = calls.reply(sent, close=True)
-    assert [end.result for end in event.ends] == [result] and calls.net.budget.total() == 0
+    assert [end.result for end in event.outcomes] == [result] and calls.net.budget.total() == 0
 
 
 def test_silence_is_a_timeout_and_the_connection_is_closed_not_used_again(monkeypatch):
@@ -787,7 +816,7 @@
     calls.call(span=SECOND)
     calls.net.advance(1050 * MS)
     (event,) = calls.net.events
-    assert event.ends[0].result is R.TIMEOUT and event.took >= SECOND
+    assert event.outcomes[0].result is Result.TIMEOUT and event.duration >= SECOND
     assert drain(calls.made[0]) and drain(calls.made[0]) is None and not calls.hosts.idle
 
 
@@ -802,8 +831,8 @@
     assert len(calls.hosts.given_up.streams) == calls.net.budget.total() == slots
     calls.net.advance(2 * SECOND)
     assert calls.net.budget.total() == 0
-    done = [event for event in calls.net.events if type(event) is ev.HostDone]
-    assert len(done) == slots + 5 and not any(event.seen for event in done)
+    done = [event for event in calls.net.events if type(event) is ev.HostFinishedReading]
+    assert len(done) == slots + 5 and not any(event.confirmed for event in done)
 
 
 @pytest.mark.parametrize("ends", [answered(200), b""])
@@ -815,13 +844,15 @@
     calls.net.advance(150 * MS, step=10 * MS)
     calls.reply(ends, close=not ends)
     (given_up, done) = calls.net.events
-    assert [end.result for end in given_up.ends] == [R.TIMEOUT]
-    assert (type(done), done.call, done.seen) == (ev.HostDone, 1, True)
+    assert [end.result for end in given_up.outcomes] == [Result.TIMEOUT]
+    assert (type(done), done.call, done.confirmed) == (ev.HostFinishedReading, 1, True)
     assert calls.net.budget.total() == 0 and not calls.hosts.idle
 
 
 @pytest.mark.parametrize("bundle", [False, True])
-@pytest.mark.parametrize("stood,result", [(900 * MS, R.DELIVERED), (1100 * MS, R.CANCELLED)])
+@pytest.mark.parametrize(
+    "stood,result", [(900 * MS, Result.DELIVERED), (1100 * MS, Result.CANCELLED)]
+)
 def test_an_answer_that_is_read_after_the_time_that_was_told_is_no_delivery(
     monkeypatch, bundle, stood, result
 ):
@@ -834,8 +865,10 @@
     calls.net.clock.now += stood  # no round between the answer and the end of the wait
     calls.net.settle()
     (event,) = calls.net.events
-    assert {end.result for end in event.ends} == {result}
-    assert bool(calls.hosts.idle) == (result is R.DELIVERED), "the connection is of no further use"
+    assert {end.result for end in event.outcomes} == {result}
+    assert bool(calls.hosts.idle) == (
+        result is Result.DELIVERED
+    ), "the connection is of no further use"
 
 
 def stands_after(calls, send):
@@ -849,7 +882,9 @@
     return sends
 
 
-@pytest.mark.parametrize("span,result", [(SECOND // 2, R.CANCELLED), (SECOND, R.DELIVERED)])
+@pytest.mark.parametrize(
+    "span,result", [(SECOND // 2, Result.CANCELLED), (SECOND, Result.DELIVERED)]
+)
 def test_an_answer_that_came_while_the_relay_stood_still_right_after_its_call_counts(
     monkeypatch, span, result
 ):
@@ -861,17 +896,18 @@
     stream.send = stands_after(calls, stream.send)
     calls.call(span=span)
     calls.net.settle()
-    assert [event.ends[0].result for event in calls.net.events] == [R.DELIVERED, result] and len(
-        calls.made
-    ) == 1
+    assert [event.outcomes[0].result for event in calls.net.events] == [
+        Result.DELIVERED,
+        result,
+    ] and len(calls.made) == 1
 
 
 @pytest.mark.parametrize(
     "refusal,result",
     [
-        (Broken("ECONNREFUSED"), R.NO_CONNECT),
-        (hosts.Late(), R.NO_CONNECT),
-        (hosts.Short("EMFILE"), R.NOT_SENT),
+        (Broken("ECONNREFUSED"), Result.NO_CONNECT),
+        (hosts.Late(), Result.NO_CONNECT),
+        (hosts.Short("EMFILE"), Result.NOT_SENT),
     ],
 )
 def test_no_connection_is_no_connect_unless_it_is_this_relay_that_is_short(
@@ -880,7 +916,7 @@
     calls = Calls(monkeypatch)
     calls.refusals.append(refusal)
     calls.call()
-    assert [e.ends[0].result for e in calls.net.events] == [result] and calls.hosts.out == 0
+    assert [e.outcomes[0].result for e in calls.net.events] == [result] and calls.hosts.out == 0
 
 
 def test_a_kept_connection_carries_the_next_call_and_one_that_ended_is_replaced(monkeypatch):
@@ -892,7 +928,9 @@
     calls.reply(answered(200))
     calls.made[0].close()
     calls.call()
-    assert len(calls.made) == 2 and calls.reply(answered(200)).ends[0].result is R.DELIVERED
+    assert (
+        len(calls.made) == 2 and calls.reply(answered(200)).outcomes[0].result is Result.DELIVERED
+    )
     assert len(calls.net.events) == 3 and calls.net.budget.total() == 1
 
 
@@ -907,7 +945,9 @@
 
     stream.send = breaks
     calls.call()
-    assert len(calls.made) == 2 and calls.reply(answered(200)).ends[0].result is R.DELIVERED
+    assert (
+        len(calls.made) == 2 and calls.reply(answered(200)).outcomes[0].result is Result.DELIVERED
+    )
     (kept,) = calls.hosts.idle["h1"]
     calls.net.clock.now += 9001 * MS
     assert calls.hosts.idle.take("h1") is None and not kept.open, "too long idle"
@@ -935,7 +975,10 @@
     calls.reply(answered(200))
     calls.refused = Refusal.HOST_NOT_UP
     calls.call()
-    assert calls.net.events[1].ends[0].result is R.NOT_SENT and len(calls.hosts.idle["h1"]) == 1
+    assert (
+        calls.net.events[1].outcomes[0].result is Result.NOT_SENT
+        and len(calls.hosts.idle["h1"]) == 1
+    )
 
     def told_while_connecting():
         # the connection is up, and the wait came before it
@@ -946,7 +989,9 @@
     calls.hosts.close_idle("h1")
     calls.hosts.refusal = lambda *_: told_while_connecting()
     calls.call()
-    assert calls.net.events[2].ends[0].result is R.NOT_SENT and drain(calls.made[0]) is None
+    assert (
+        calls.net.events[2].outcomes[0].result is Result.NOT_SENT and drain(calls.made[0]) is None
+    )
     assert calls.net.budget.total() == 0
 
 
@@ -967,13 +1012,15 @@
     )
     body = b"a delivered\r\nb failed\r\nc refused\r\nd over\r\ne spent\r\n"
     event = calls.reply(answered(200, b"Retry-After: 0.5", body=body))
-    assert [(e.id, e.result, e.wait, e.closed, e.spent) for e in event.ends] == [
-        ("a", R.DELIVERED, 0, True, False),
-        ("b", R.ERROR, 0, False, False),
-        ("c", R.REFUSED, 500 * MS, False, False),
-        ("d", R.NOT_SENT, 0, True, False),
-        ("e", R.NOT_SENT, 0, False, True),
-        ("f", R.RESET, 0, False, False),
+    assert [
+        (e.id, e.result, e.retry_after, e.completed, e.attempts_exhausted) for e in event.outcomes
+    ] == [
+        ("a", Result.DELIVERED, 0, True, False),
+        ("b", Result.ERROR, 0, False, False),
+        ("c", Result.REFUSED, 500 * MS, False, False),
+        ("d", Result.NOT_SENT, 0, True, False),
+        ("e", Result.NOT_SENT, 0, False, True),
+        ("f", Result.RESET, 0, False, False),
     ]
 
 
@@ -981,29 +1028,29 @@
     """Danger: taken for a used-up limit, relays that hold idle connections go on holding them, and others find no room."""
     calls = Calls(monkeypatch)
     for headers, result in (
-        (b"Connection: close", R.NO_CONNECT),
-        (b"X: y", R.REFUSED),
-        (b"Connection: close", R.REFUSED),
+        (b"Connection: close", Result.NO_CONNECT),
+        (b"X: y", Result.REFUSED),
+        (b"Connection: close", Result.REFUSED),
     ):
         # the third goes on the second's connection, which has been let in
         calls.call()
-        assert [end.result for end in calls.reply(answered(503, headers)).ends] == [result]
+        assert [end.result for end in calls.reply(answered(503, headers)).outcomes] == [result]
     assert len(calls.made) == 2
 
 
 @pytest.mark.parametrize(
     "sent,result",
     [
-        (answered(429, b"Retry-After: 1"), R.REFUSED),
-        (answered(413), R.REFUSED),
-        (answered(500), R.ERROR),
-        (answered(200, body=b"a delivered\r\n")[:-4], R.RESET),
+        (answered(429, b"Retry-After: 1"), Result.REFUSED),
+        (answered(413), Result.REFUSED),
+        (answered(500), Result.ERROR),
+        (answered(200, body=b"a delivered\r\n")[:-4], Result.RESET),
     ],
 )
 def test_a_call_of_several_that_fares_alike_or_whose_answer_is_not_whole(monkeypatch, sent, result):
     calls = Calls(monkeypatch)
     calls.call("a", "b", bundle=True)
-    assert [e.result for e in calls.reply(sent, close=True).ends] == [result] * 2
+    assert [e.result for e in calls.reply(sent, close=True).outcomes] == [result] * 2
 
 
 def test_a_call_of_several_is_given_up_once_the_time_of_one_is_up(monkeypatch):
@@ -1016,7 +1063,10 @@
             "h1",
             ("127.0.0.1", 9),
             True,
-            [ev.Member("a", None, b"", now + 3 * SECOND), ev.Member("b", None, b"", now + SECOND)],
+            [
+                ev.OutgoingCallback("a", None, b"", now + 3 * SECOND),
+                ev.OutgoingCallback("b", None, b"", now + SECOND),
+            ],
         )
     )
     calls.net.settle()
@@ -1024,9 +1074,9 @@
     calls.made[0].send(answered(200, body=b"a delivered\r\nb delivered\r\n")[:-4])
     calls.net.advance(1100 * MS)
     (event,) = calls.net.events
-    assert [(e.id, e.result) for e in event.ends] == [
-        (i, R.TIMEOUT) for i in "ab"
-    ] and event.took >= SECOND
+    assert [(e.id, e.result) for e in event.outcomes] == [
+        (i, Result.TIMEOUT) for i in "ab"
+    ] and event.duration >= SECOND
     assert (
         calls.hosts.out == 0 and drain(calls.made[0]) is None
     ), "closed, so that the host knows too"
@@ -1051,8 +1101,8 @@
 
 class Watch:
     def __init__(self, monkeypatch, known=None):
-        self.net = Net()
-        self.made, self.refusals = self.net.catch(monkeypatch)
+        self.net = NetHarness()
+        self.made, self.refusals = self.net.intercept_connections(monkeypatch)
         self.discovery = discovery.Discovery(
             self.net.scheduler, net_config(known=known or {}), self.net.budget, self.net.post
         )
@@ -1244,8 +1294,8 @@
 
 class Post:
     def __init__(self, monkeypatch):
-        self.net = Net()
-        self.made, self.refusals = self.net.catch(monkeypatch)
+        self.net = NetHarness()
+        self.made, self.refusals = self.net.intercept_connections(monkeypatch)
         self.notices = notices.Notices(
             self.net.scheduler, net_config(), self.net.budget, self.net.post
         )
@@ -1344,7 +1394,7 @@
 
 
 def test_a_task_whose_time_is_up_does_not_wait_for_those_that_can():
-    net = Net()
+    net = NetHarness()
     begun, woke = net.clock.now, []
 
     def sleeper():
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -10,8 +10,8 @@
 
 from molehill.core.reducer import Core
 from molehill.relay import log_room
-from molehill.store import HEAD
-from tests.ledger import MS, SECOND, drain, net_config, net_given
+from molehill.store import HEADER
+from tests.core_harness import MS, SECOND, drain, net_config, net_config_fields
 from tests.place import ASK
 
 
@@ -26,7 +26,7 @@
     assert b"Req-Id: id1" in text and b"id2" not in text
     host.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
     assert b"Req-Id: id2" in place.hear(host, b"\r\n\r\nab")
-    assert list(place.relay.core.held) == ["id2"]
+    assert list(place.relay.core.callbacks) == ["id2"]
 
 
 def test_after_sigterm_it_serves_on_lets_go_and_what_it_holds_is_taken_up_by_the_next(place):
@@ -53,13 +53,17 @@
     assert place.relay.scheduler.stopped, "well before 3.7 s"
     place.relay.store.close()
     first, _ = place.relay, place.start()
-    assert list(place.relay.core.held) == ["id1", "id2", "id3", "id4"] == list(first.core.held)
-    place.advance(Core.LIST_WITHIN)  # discovery says nothing here
+    assert (
+        list(place.relay.core.callbacks)
+        == ["id1", "id2", "id3", "id4"]
+        == list(first.core.callbacks)
+    )
+    place.advance(Core.LIST_TIMEOUT)  # discovery says nothing here
     again = place.accept(place.host)
     assert b"Req-Id: id1" in place.hear(
         again, b"\r\n\r\nab"
     ), "in the order in which they were handed in"
-    assert place.relay.core.held["id1"].launches == first.core.held["id1"].launches + 1
+    assert place.relay.core.callbacks["id1"].attempts == first.core.callbacks["id1"].attempts + 1
 
 
 def test_a_notice_that_is_owed_is_sent_after_a_restart_too(place):
@@ -69,7 +73,7 @@
     place.relay.store.close()
     place.clock.now += 16 * SECOND
     place.start()
-    assert not place.relay.core.held or place.relay.core.held["id1"].state == "owed"
+    assert not place.relay.core.callbacks or place.relay.core.callbacks["id1"].state == "owed"
     for _ in range(3):
         platform = place.accept(place.platform)
         text = place.hear(platform, b"\r\n\r\n")
@@ -78,7 +82,7 @@
     assert b'{"ref":"id1","result":"dead"}' in text
     platform.send(b"HTTP/1.1 204 No Content\r\n\r\n")
     place.advance(50 * MS)
-    assert not place.relay.core.held
+    assert not place.relay.core.callbacks
 
 
 def test_on_sighup_a_faulty_file_is_named_and_a_good_one_moves_watch_and_notices(
@@ -110,8 +114,8 @@
     assert list(relay.notices.waiting) == ["id1"], "posted, and not answered"
     for text in (
         "{",
-        json.dumps(net_given(discovery="nowhere", known={})),
-        json.dumps(net_given(settings={}, known={})),
+        json.dumps(net_config_fields(discovery="nowhere", known={})),
+        json.dumps(net_config_fields(settings={}, known={})),
     ):
         file.write_text(text)
         other.send(bytes([signal.SIGHUP]))
@@ -125,7 +129,9 @@
     moved = place.listener()
     file.write_text(
         json.dumps(
-            net_given(discovery="%s:%d" % moved.getsockname(), limits={"disk_mb": 1}, known={})
+            net_config_fields(
+                discovery="%s:%d" % moved.getsockname(), limits={"disk_mb": 1}, known={}
+            )
         )
     )
     other.send(bytes([signal.SIGHUP]))
@@ -140,7 +146,7 @@
         b"GET /registry/instances",
         b"POST /v2/finals",
     ]
-    assert said[-1]["at_next_start"] == ["listen", "state", "disk"] and not relay.core.held
+    assert said[-1]["at_next_start"] == ["listen", "state", "disk"] and not relay.core.callbacks
     other.send(bytes([signal.SIGTERM, signal.SIGHUP, signal.SIGTERM]))
     place.advance(3600 * MS, step=50 * MS)
     assert relay.scheduler.stopped and client.send(b"x")
@@ -180,8 +186,8 @@
     place.turn(3)
     assert (
         relay.scheduler.stopped
-        and "id3" not in relay.core.held
-        and set(relay.core.held) == {"id1", "id2"}
+        and "id3" not in relay.core.callbacks
+        and set(relay.core.callbacks) == {"id1", "id2"}
     )
     assert seen == [
         ("stopping", 0),
@@ -202,12 +208,12 @@
     place.relay.store.close()
     payload = b"[" * 100_000 + b"\n"
     with open(place.relay.store.path, "ab") as log:
-        log.write(HEAD.pack(len(payload), crc32(payload)) + payload + b"torn")
+        log.write(HEADER.pack(len(payload), crc32(payload)) + payload + b"torn")
     capfd.readouterr()
     place.start()
     said = capfd.readouterr().err
     assert "level='warning' event='log read' cut=4 held=1 odd=1" in said and list(
-        place.relay.core.held
+        place.relay.core.callbacks
     ) == ["id1"]
 
 
@@ -242,9 +248,9 @@
         place.advance(20 * MS)
     assert (
         not errors
-        and not place.relay.core.held
-        and list(place.relay.core.done) == [f"id{n}" for n in range(6)]
+        and not place.relay.core.callbacks
+        and list(place.relay.core.recently_completed) == [f"id{n}" for n in range(6)]
     )
     store.close()
     place.start()
-    assert not place.relay.core.held and place.relay.core.used == 0
+    assert not place.relay.core.callbacks and place.relay.core.log_bytes_used == 0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,16 +5,23 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 
 from molehill import interface
-from tests.ledger import MS, SECOND, R, World, category, settings
+from tests.core_harness import MS, SECOND, DecisionHarness, Result, callback_class, settings
 
 CALLBACK_CLASSES = [
-    category("rerunnable"),
-    category("ticketed", window=1500, ordered=True),
-    category("exclusive", abandon=8000),
-    category("ticketed", window=2500, same_zone=True, payoff=3.0),
+    callback_class("rerunnable"),
+    callback_class("ticketed", window=1500, ordered=True),
+    callback_class("exclusive", abandon=8000),
+    callback_class("ticketed", window=2500, same_zone=True, payoff=3.0),
 ]
 HOSTS = ((1, 0, 0, 1), (2, 1, 0, 1), (3, 0, 1, 2), (4, 1, 1, 2), (5, 0, 2, 3))
-ANSWERS = [R.DELIVERED] * 4 + [R.ERROR, R.REFUSED, R.NO_CONNECT, R.RESET, R.CANCELLED, R.NOT_SENT]
+ANSWERS = [Result.DELIVERED] * 4 + [
+    Result.ERROR,
+    Result.REFUSED,
+    Result.NO_CONNECT,
+    Result.RESET,
+    Result.CANCELLED,
+    Result.NOT_SENT,
+]
 
 
 class RandomEvents(RuleBasedStateMachine):
@@ -61,7 +68,7 @@
                 cold_capacity_share=None,
                 slow_start_time=None,
             )
-        self.world = World(settings(**given), HOSTS, seed)
+        self.world = DecisionHarness(settings(**given), HOSTS, seed)
 
     @rule(
         class_index=st.integers(0, 3),
@@ -72,14 +79,14 @@
     )
     def take(self, class_index, destination, key, tenant, count):
         for _ in range(count):
-            self.world.take(class_index, destination, key, tenant)
+            self.world.submit(class_index, destination, key, tenant)
 
     @rule(class_index=st.integers(0, 3), abandon=st.integers(-5, 400))
     def take_late(self, class_index, abandon):
-        number = self.world.take(class_index, key="a", abandon=abandon * MS)
-        assert abandon > 0 or number in self.world.final
+        number = self.world.submit(class_index, key="a", abandon=abandon * MS)
+        assert abandon > 0 or number in self.world.completed
 
-    @precondition(lambda self: self.world.out)
+    @precondition(lambda self: self.world.in_flight)
     @rule(
         index=st.integers(0, 50),
         result=st.sampled_from(ANSWERS),
@@ -87,9 +94,9 @@
         answer_all=st.booleans(),
     )
     def answer(self, index, result, wait, answer_all):
-        out = sorted(self.world.out)
+        out = sorted(self.world.in_flight)
         for number in out if answer_all else [out[index % len(out)]]:
-            if number in self.world.out:
+            if number in self.world.in_flight:
                 self.world.answer(number, result, wait * MS)
 
     @rule(span=st.sampled_from([1, 20, 150, 700, 3000]))
@@ -108,7 +115,7 @@
                 interface.HostEntry(*h, interface.Condition.UP, 2.0) for h in HOSTS if h != host
             ]
         scope = interface.ListScope.WHOLE if whole else interface.ListScope.UPDATE
-        self.world.step([self.world.news(scope, entries)])
+        self.world.step([self.world.list_news(scope, entries)])
 
     @rule(number=st.integers(1, 40))
     def send_stray_events(self, number):
@@ -117,18 +124,18 @@
             interface.HostListUpdate(interface.ListScope.FAILED, []),
             interface.TimerExpired("wake"),
         ]
-        if number in self.world.final and number not in self.world.out:
+        if number in self.world.completed and number not in self.world.in_flight:
             events += [
-                interface.Outcome(number, 0, 1, R.TIMEOUT, 5, 0, True),
+                interface.Outcome(number, 0, 1, Result.TIMEOUT, 5, 0, True),
                 interface.CallbackWithdrawn(number),
             ]
         self.world.step(events)
 
-    @precondition(lambda self: self.world.open)
+    @precondition(lambda self: self.world.open_callbacks)
     @rule()
     def withdraw(self):
-        number = min(self.world.open)
-        self.world.final[number] = self.world.open.pop(number)
+        number = min(self.world.open_callbacks)
+        self.world.completed[number] = self.world.open_callbacks.pop(number)
         self.world.step([interface.CallbackWithdrawn(number)])
 
     @rule()
@@ -138,9 +145,9 @@
     def teardown(self):
         if hasattr(self, "world"):
             self.world.advance(30_000 * MS)
-            module = self.world.relay
+            module = self.world.dispatcher
             assert (
-                not self.world.open
+                not self.world.open_callbacks
                 and not module.state.callbacks_by_id
                 and not module.lifecycle.callbacks_by_key
             )
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -6,7 +6,7 @@
 import pytest
 
 from molehill import config, interface
-from tests.ledger import MS, net_given
+from tests.core_harness import MS, net_config_fields
 
 SITES = sorted(Path(__file__).parent.parent.glob("deploy/sites/*.toml"))
 EFFECTS = {"safe": "idempotent", "keyed": "deduplicated", "unsafe": "at_most_once"}
@@ -84,7 +84,7 @@
 def test_site_settings_match_site_file(path):
     site = tomllib.loads(path.read_text())
     given = settings_of(site)
-    made = config.check(net_given(settings=given), {})
+    made = config.check(net_config_fields(settings=given), {})
     rows = made.settings.callback_classes
     assert list(made.categories) == [c["name"] for c in site["class"]] and list(made.tenants) == [
         t["name"] for t in site["tenant"]
@@ -113,4 +113,4 @@
         "grades": [*given["grades"][:-1], {**given["grades"][-1], "semantics": "perhaps"}],
     }
     with pytest.raises(config.ConfigError, match=rf"settings\.grades\.{len(rows) - 1}\.semantics"):
-        config.check(net_given(settings=broken), {})
+        config.check(net_config_fields(settings=broken), {})
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -5,8 +5,8 @@
 import pytest
 
 from molehill.storage import codec, records, space
-from molehill.storage.drive import Disk
-from molehill.storage.records import HEAD, MARK, Gap, Record, pack, scan
+from molehill.storage.drive import SpaceSimulator
+from molehill.storage.records import HEADER, MAGIC, Gap, Record, pack, scan
 
 SALT = b"saltsalt"
 
@@ -15,56 +15,56 @@
     return b"".join(pack(salt, n, payload) for n, payload in enumerate(payloads, 1))
 
 
-def whole(data, salt=SALT):
-    return [(r.number, r.payload) for r in scan(data, salt) if type(r) is Record]
+def whole_records(data, salt=SALT):
+    return [(r.sequence, r.payload) for r in scan(data, salt) if type(r) is Record]
 
 
-def test_each_byte_spoilt_in_turn_costs_the_record_that_it_lies_in_and_no_other():
-    chance = Random(4)
-    payloads = [b"", MARK, b"x" * 40, MARK * 3, chance.randbytes(30), b"last"]
+def test_corrupt_byte_loses_one_record():
+    random = Random(4)
+    payloads = [b"", MAGIC, b"x" * 40, MAGIC * 3, random.randbytes(30), b"last"]
     data = segment(payloads)
     ends = [
         at
         for at in range(len(data) + 1)
-        if len(whole(data[:at])) != len(whole(data[: max(0, at - 1)]))
+        if len(whole_records(data[:at])) != len(whole_records(data[: max(0, at - 1)]))
     ]
     for at in range(len(data)):
-        for value in {0, 255, data[at] ^ 1, MARK[0]} - {data[at]}:
+        for value in {0, 255, data[at] ^ 1, MAGIC[0]} - {data[at]}:
             spoilt = data[:at] + bytes([value]) + data[at + 1 :]
             hit = sum(end <= at for end in ends)
-            assert whole(spoilt) == [
+            assert whole_records(spoilt) == [
                 row for n, row in enumerate(enumerate(payloads, 1)) if n != hit
             ]
             gaps = [r for r in scan(spoilt, SALT) if type(r) is Gap]
-            assert gaps == [Gap(([0] + ends)[hit], HEAD.size + len(payloads[hit]))]
+            assert gaps == [Gap(([0] + ends)[hit], HEADER.size + len(payloads[hit]))]
 
 
-def test_torn_at_any_byte_all_before_it_is_read_and_the_rest_is_told():
+def test_torn_segment_reports_remaining_gap():
     data = segment([b"one", b"", b"three" * 9])
     for at in range(len(data) + 1):
         found = list(scan(data[:at], SALT))
-        kept = sum(HEAD.size + len(r.payload) for r in found if type(r) is Record)
+        kept = sum(HEADER.size + len(r.payload) for r in found if type(r) is Record)
         assert kept + sum(r.length for r in found if type(r) is Gap) == at
         assert [r.payload for r in found if type(r) is Record] == [b"one", b"", b"three" * 9][
             : sum(type(r) is Record for r in found)
         ]
 
 
-def test_a_payload_made_to_look_like_a_record_is_never_one_though_its_own_head_is_spoilt():
+def test_forged_record_in_payload_is_ignored():
     """Danger: a client's words that end another client's callback."""
     forged = pack(b"guessed.", 9, b"end of another")
     data = bytearray(segment([b"first", b".." + forged + b"..", b"third"]))
-    at = data.index(MARK, 1)
+    at = data.index(MAGIC, 1)
     data[at] ^= 1
-    assert whole(bytes(data)) == [(1, b"first"), (3, b"third")]
-    assert whole(forged, b"guessed.") == [(9, b"end of another")]
+    assert whole_records(bytes(data)) == [(1, b"first"), (3, b"third")]
+    assert whole_records(forged, b"guessed.") == [(9, b"end of another")]
 
 
-def test_bytes_like_many_long_heads_are_not_read_once_for_each(monkeypatch):
+def test_forged_headers_cost_no_payload_reads(monkeypatch):
     """Danger: a spoilt head before such a body makes the start as slow as the square of the segment."""
     read = []
     extend = records.google_crc32c.extend
-    body = HEAD.pack(MARK, 5000, 7, 0, 0) * 400
+    body = HEADER.pack(MAGIC, 5000, 7, 0, 0) * 400
     data = bytearray(segment([body, b"next"]))
     data[0] ^= 1
     monkeypatch.setattr(
@@ -72,17 +72,17 @@
         "extend",
         lambda check, chunk: read.append(len(chunk)) or extend(check, chunk),
     )
-    assert whole(bytes(data)) == [(2, b"next")] and sum(read) == 4
+    assert whole_records(bytes(data)) == [(2, b"next")] and sum(read) == 4
 
 
-def test_a_payload_that_is_too_long_is_not_packed_and_a_length_too_long_is_spoilt(monkeypatch):
-    monkeypatch.setattr(records, "MOST", 10)
+def test_oversized_payload_is_refused(monkeypatch):
+    monkeypatch.setattr(records, "MAX_PAYLOAD", 10)
     with pytest.raises(ValueError):
         pack(SALT, 1, b"x" * 11)
     data = segment([b"a", b"x" * 10])
-    assert whole(data) == [(1, b"a"), (2, b"x" * 10)]
-    monkeypatch.setattr(records, "MOST", 9)
-    assert whole(data) == [(1, b"a")]
+    assert whole_records(data) == [(1, b"a"), (2, b"x" * 10)]
+    monkeypatch.setattr(records, "MAX_PAYLOAD", 9)
+    assert whole_records(data) == [(1, b"a")]
 
 
 FIELDS = {
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("version", sorted(codec.VERSIONS))
-def test_each_version_gives_back_what_it_was_given_and_tells_what_it_can_t_read(version):
+def test_codec_versions_round_trip(version):
     for body in (b"", b"two\nlines\n", bytes(range(256))):
         payload = codec.encode(version, FIELDS, body)
         assert codec.decode(version, payload) == (FIELDS, body)
@@ -117,36 +117,39 @@
         codec.decode(99, payload)
 
 
-@pytest.mark.parametrize("lives", ["short", "mixed", "long first"])
-def test_all_that_is_admitted_fits_whatever_lives_how_long_and_the_room_is_never_used_up(lives):
-    chance, disk, held, refused = Random(5), Disk(1_000_000, 20_000), [], 0
+@pytest.mark.parametrize("lifetimes", ["short", "mixed", "long first"])
+def test_admitted_states_always_fit(lifetimes):
+    random, simulator, held, refused = Random(5), SpaceSimulator(1_000_000, 20_000), [], 0
     for n in range(30_000):
-        if disk.space.may_take(300, 160):
-            disk.append(300, f"c{n}", 160)
+        if simulator.space.can_admit(300, 160):
+            simulator.append(300, f"c{n}", 160)
             held.append(f"c{n}")
         else:
             refused += 1
-            stays = 900 if lives == "long first" else 0
-            at = stays + chance.randrange(len(held) - stays) if lives != "short" else 0
-            ident = held.pop(at)
-            disk.append(80, ident)
-            disk.append(80, ident)
-            disk.space.over(ident)
-    assert refused > 5000 and disk.space.owed == 300 * len(held)
-    assert disk.longest <= 40 and disk.written < 12 * disk.asked
-    for ident in held:
-        disk.space.over(ident)
-    disk.append(20_000)
-    assert disk.space.owed == disk.space.promised == 0 and len(disk.space.segments) == 1
-    assert not disk.space.places and not disk.space.reserved
-
-
-def test_too_little_room_is_an_error_and_an_unknown_callback_s_end_is_passed_over():
+            stays = 900 if lifetimes == "long first" else 0
+            at = stays + random.randrange(len(held) - stays) if lifetimes != "short" else 0
+            callback_id = held.pop(at)
+            simulator.append(80, callback_id)
+            simulator.append(80, callback_id)
+            simulator.space.remove_state(callback_id)
+    assert refused > 5000 and simulator.space.live_bytes == 300 * len(held)
+    assert simulator.most_moved <= 40 and simulator.written < 12 * simulator.appended
+    for callback_id in held:
+        simulator.space.remove_state(callback_id)
+    simulator.append(20_000)
+    assert (
+        simulator.space.live_bytes == simulator.space.reserved_bytes == 0
+        and len(simulator.space.segments) == 1
+    )
+    assert not simulator.space.locations and not simulator.space.reserved
+
+
+def test_small_space_and_unknown_ids():
     with pytest.raises(ValueError):
         space.Space(7 * 1024, 1024)
-    disk = Disk(8 * 1024, 1024)
-    disk.append(100, "a", 50)
-    disk.space.over("never there")
-    assert disk.space.empty() == [] and disk.space.owed == 100
-    disk.append(2000, "b", 50)  # longer than a segment: one of its own
-    assert len(disk.space.segments) == 2 and disk.space.used == 512 + 2048
+    simulator = SpaceSimulator(8 * 1024, 1024)
+    simulator.append(100, "a", 50)
+    simulator.space.remove_state("never there")
+    assert simulator.space.empty_segments() == [] and simulator.space.live_bytes == 100
+    simulator.append(2000, "b", 50)  # longer than a segment: one of its own
+    assert len(simulator.space.segments) == 2 and simulator.space.used_bytes == 512 + 2048
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -9,7 +9,7 @@
 from molehill.cli.trace import trace as command
 from molehill.runtime.kernel import Disk, Kernel
 from molehill.runtime.trace import Step, Trace
-from tests.ledger import MS, SECOND, Ticks
+from tests.core_harness import MS, SECOND, ManualClock
 from tests.place import ASK, Place
 
 
@@ -62,7 +62,7 @@
 
 
 def test_the_file_stays_within_its_room_and_a_disk_that_fails_stops_nothing(tmp_path):
-    machine, path, room = Kernel(Ticks()), tmp_path / "trace", 4000
+    machine, path, room = Kernel(ManualClock()), tmp_path / "trace", 4000
     machine.disk = FailingDisk()
     trace = Trace(machine, str(path), room)
     for n in range(300):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -12,7 +12,7 @@
 from molehill.runtime.kernel import Kernel
 from molehill.runtime.log import Sink
 from molehill.runtime.stream import Broken
-from tests.ledger import MS, SECOND, drain, first_endpoint
+from tests.core_harness import MS, SECOND, drain, first_endpoint
 from tests.place import Place
 
 ASK = b"POST /api HTTP/1.1\r\nReq-Id: %s\r\nReq-Kind: %s\r\nX-Consignee: dest=3\r\nCookie: subject=k\r\nContent-Length: 2\r\n\r\nab"
@@ -141,7 +141,7 @@
         and new.can_serve()
         and first_endpoint(new.core.module).limiter.window == 2.5
     )
-    assert new.core.module.state.calls_in_flight == 2 and sorted(new.core.held) == [
+    assert new.core.module.state.calls_in_flight == 2 and sorted(new.core.callbacks) == [
         "id0",
         "id1",
         "id2",
@@ -152,7 +152,8 @@
         sock.send(rest)
     two.advance(50 * MS)
     assert (
-        new.core.figures.ends["notice"]["fulfilled"] + new.core.figures.ends["plain"]["fulfilled"]
+        new.core.metrics.end_counts["notice"]["fulfilled"]
+        + new.core.metrics.end_counts["plain"]["fulfilled"]
         == 2
     )
     assert all(
@@ -164,12 +165,12 @@
     clients[0].send(ASK % (b"id7", b"notice"))
     late = two.client(ASK % (b"id8", b"plain"))
     assert all(b"202" in drain(sock) for sock in (half, whole, silent, clients[0], late))
-    assert {"id4", "id5", "id6", "id7", "id8"} <= set(new.core.held)
+    assert {"id4", "id5", "id6", "id7", "id8"} <= set(new.core.callbacks)
     two.old.on_signal(15)
     two.turn()
     assert two.old.scheduler.stopped and len(new.hosts.running) == 3
     third = two.succeed(two.start())  # and once more
-    assert third.can_serve() and set(third.core.held) == set(new.core.held)
+    assert third.can_serve() and set(third.core.callbacks) == set(new.core.callbacks)
 
 
 def test_a_call_that_is_not_written_whole_is_launched_again_and_one_over_in_a_call_rests_its_key(
@@ -179,8 +180,8 @@
     running = two.old.hosts.running[1]
     running.written = False  # as while its connection comes up
     new = two.succeed(two.start())
-    assert new.core.held["id0"].launches <= 1 and len(two.calls()) >= 1
-    assert new.core.figures.relayed <= 1 and not new.core.held["id0"].ran_at
+    assert new.core.callbacks["id0"].attempts <= 1 and len(two.calls()) >= 1
+    assert new.core.metrics.relayed <= 1 and not new.core.callbacks["id0"].ran_at
 
 
 ROWS = 11
@@ -193,7 +194,7 @@
     for n in range(3):
         assert b"202" in drain(two.client(ASK % (b"id%d" % n, b"plain")))
     # and one has ended by a notice that is not answered
-    owed = two.old.core.held["id2"]
+    owed = two.old.core.callbacks["id2"]
     two.old.core.effects = []
     two.old.core._end_callback(owed, True, 0)
     two.old.core.inbox.append(interface.CallbackWithdrawn("id2"))
@@ -241,7 +242,7 @@
         left = two.succeed(start)
         two.address = left.clients.listener.getsockname()
     assert len(seen) > step, "every step there is was cut off"
-    assert left.can_serve() and {"id0", "id1", "id2"} == set(left.core.held)
+    assert left.can_serve() and {"id0", "id1", "id2"} == set(left.core.callbacks)
     assert b"202" in drain(two.client(ASK % (b"id3", b"plain")))
     for _ in range(12):
         for sock in hosts + two.calls():
@@ -250,8 +251,8 @@
                 sock.send(DONE)
         two.advance(500 * MS)
     assert (
-        list(left.core.held) == ["id2"] == list(left.notices.waiting)
-        and left.core.figures.ends["plain"]["fulfilled"] == 3
+        list(left.core.callbacks) == ["id2"] == list(left.notices.waiting)
+        and left.core.metrics.end_counts["plain"]["fulfilled"] == 3
     )
 
 
@@ -266,7 +267,7 @@
     two.old.on_signal(1)
     new = two.succeed(start)
     assert (
-        new.core.set.max_attempts == 2 == new.core.module.state.settings.max_attempts
+        new.core.settings.max_attempts == 2 == new.core.module.state.settings.max_attempts
         and new.config.categories == {"notice": 0}
     )
     assert b"400" in drain(two.client(ASK % (b"id0", b"plain"))) and b"202" in drain(
@@ -297,7 +298,12 @@
     two.live += waking
     # asked again, the old one hands over after all
     new = two.succeed(start)
-    assert two.old.given and set(new.core.held) | set(new.core.done) >= {"id0", "id1", "id2", "id3"}
+    assert two.old.given and set(new.core.callbacks) | set(new.core.recently_completed) >= {
+        "id0",
+        "id1",
+        "id2",
+        "id3",
+    }
 
 
 def test_one_killed_right_after_its_word_leaves_all_to_the_next_start(two, monkeypatch):
@@ -326,7 +332,7 @@
     got[-1].close(Kernel())
     third = two.start()
     two.advance(20 * MS)
-    assert third.can_serve() and set(third.core.held) == {"id0", "id1", "id2"}
+    assert third.can_serve() and set(third.core.callbacks) == {"id0", "id1", "id2"}
 
 
 @pytest.mark.parametrize(
