--- a/molehill/emulator/life.py
+++ b/molehill/emulator/life.py
@@ -507,12 +507,12 @@
             "open": core.open_count,
             "module held": len(core.module.state.callbacks_by_id),
             "streams": len(http.hosts.streams),
-            "notices": http.notices.owed,
+            "notices": http.notices.pending_count,
             "aborted": len(http.hosts.aborted),
             "descriptors not counted": len(self.fds) - counted,
             "idle clients not open": sum(
-                conn not in http.clients.conns
-                for rows in http.clients.idle.values()
+                conn not in http.clients.connections
+                for rows in http.clients.idle_connections.values()
                 for conn in rows
             ),
         }
--- a/molehill/emulator/mutations.py
+++ b/molehill/emulator/mutations.py
@@ -101,7 +101,7 @@
         finally:
             stream.close = close
         stream.idle_since = self.clock()
-        self.idle.setdefault(call.host, []).append(stream)
+        self.idle_connections.setdefault(call.host, []).append(stream)
 
     return useless
 
@@ -116,7 +116,7 @@
         try:
             before(self, batch, until)
         except Exception:
-            self.line.close()
+            self.connection.close()
 
     return send
 
@@ -185,8 +185,8 @@
 
     def accept(self):
         while self.listener is not None:
-            if self.held_back or not self.budget.take("client", config.OUTGOING):
-                self.scheduler.sleep(self.clock() + self.PAUSE)
+            if self.is_paused or not self.budget.take("client", config.OUTGOING):
+                self.scheduler.sleep(self.clock() + self.ACCEPT_RETRY_DELAY)
                 continue
             try:
                 sock, _ = self.listener.accept()
@@ -197,7 +197,7 @@
             except OSError:
                 self.budget.give("client")
                 continue
-            self.open(sock)
+            self.open_connection(sock)
 
     return accept
 
@@ -224,7 +224,11 @@
         (store, "find_next_record", lambda before: lambda data, start: len(data)),
     ),
     "log's times are wall time": (log_clock, "find_clock", wall_time),
-    "accept goes on without a wait": (clients.Clients, "accept", accepts_without_a_wait),
+    "accept goes on without a wait": (
+        clients.Clients,
+        "accept_connections",
+        accepts_without_a_wait,
+    ),
     "a start opens its log once": (
         startup.Start,
         "try_log",
@@ -279,19 +283,19 @@
     ),
     "drain not heeded": (
         discovery,
-        "CONDITIONS",
+        "CONDITION_BY_STATUS",
         lambda before: {**before, "leaving": interface.Condition.UP},
     ),
     "told wait not read": (hosts, "retry_after", lambda before: lambda head: 0),
     "wait heeded by host, not by destination": (config, "settings", routes_apart),
-    "late answer ends another callback": (hosts.Hosts, "_useless", kept_after_time_out),
-    "a call goes on after the time of one in it": (hosts, "ends", with_the_last),
-    "notice sent once only": (notices.Notices, "_post", never_resent),
+    "late answer ends another callback": (hosts.Hosts, "_end_without_answer", kept_after_time_out),
+    "a call goes on after the time of one in it": (hosts, "call_deadline", with_the_last),
+    "notice sent once only": (notices.Notices, "_send_batch", never_resent),
     "deadline read a second late": (clients.Clients, "fresh", late_by(config.SECOND)),
     "returning host fed without a budget": (EndpointHealth, "update_state", full_at_once),
     "streams never forgotten": (
         hosts.Hosts,
-        "_call",
+        "_run_call",
         lambda before: lambda self, call: (
             before(self, call),
             self.streams.__setitem__(call.number, None),
@@ -302,10 +306,10 @@
         "digest",
         lambda before: lambda self: b"same",
     ),
-    "time not counted over a standstill": (clients, "STOOD_MOST", lambda before: 0),
+    "time not counted over a standstill": (clients, "MAX_READ_DELAY", lambda before: 0),
     "new notice waits for others' rest": (
         notices.Notices,
-        "_wake",
+        "_retry_now",
         lambda before: lambda self: None,
     ),
     "launch logged while its connection comes up": (Core, "_start_call", logged_as_asked_for),
@@ -323,11 +327,11 @@
     "ends told while the log fails": (
         Engine,
         "notify",
-        lambda before: lambda self, effect: self.notices.notify(effect),
+        lambda before: lambda self, effect: self.notices.send_notice(effect),
     ),
     "a connection that came up late is written on": (
         hosts.Hosts,
-        "_may_go",
+        "_may_write",
         lambda before: lambda self, call, start: True,
     ),
     "a call behind a connection in doubt is launched anew": (
@@ -344,8 +348,8 @@
     ),
     "a whole list waited for as long as a watch": (
         discovery,
-        "WHOLE_WITHIN",
-        lambda before: discovery.HOLD + discovery.ANSWER_WITHIN,
+        "WHOLE_LIST_TIMEOUT",
+        lambda before: discovery.WATCH_HOLD + discovery.ANSWER_TIMEOUT,
     ),
     "ids lately over forgotten by a rewrite": (
         Core,
@@ -354,7 +358,7 @@
     ),
     "idle clients never ended": (
         clients.Clients,
-        "crowded",
+        "exceeds_idle_limit",
         lambda before: lambda self, conn: False,
     ),
 }
--- a/molehill/http/admin.py
+++ b/molehill/http/admin.py
@@ -13,23 +13,23 @@
 from molehill.runtime.stream import PASSING, Broken, Budget, Late, finish, listening
 
 # for a whole call: twice what an answer may take, so a slow but honest one is served
-WITHIN = 2 * SECOND
+REQUEST_TIMEOUT = 2 * SECOND
 # what comes behind a call is read away, so that the caller sees the answer
-LINGER, LINGER_MOST = 200 * MS, 16 * 1024
-PAUSE = 20 * MS  # before the next try, where no connection can be taken
+LINGER_TIMEOUT, MAX_LINGER_BYTES = 200 * MS, 16 * 1024
+RETRY_DELAY = 20 * MS  # before the next try, where no connection can be taken
 
 
-class Admin:
-    def __init__(self, scheduler, address, ready, figures):
+class AdminServer:
+    def __init__(self, scheduler, address, is_ready, figures):
         """`ready()`: whether this process can serve; `figures()`: their text."""
         self.scheduler, self.clock = scheduler, scheduler.clock
         self.pages = {
-            "/ready": lambda: (200, b"ready\n") if ready() else (503, b"not ready\n"),
+            "/ready": lambda: (200, b"ready\n") if is_ready() else (503, b"not ready\n"),
             "/metrics": lambda: (200, figures().encode()),
         }
         # reading: streams without a whole head, the oldest first
-        self.seats, self.reading = Budget(ADMIN_SEATS), {}
-        self.address, self.listener, self.closed = address, None, False
+        self.connection_budget, self.reading_streams = Budget(ADMIN_SEATS), {}
+        self.address, self.listener, self.is_closed = address, None, False
         self.listen()
         scheduler.spawn_kept(self.serve_listener)
 
@@ -42,65 +42,69 @@
                 raise
 
     def serve_listener(self) -> None:
-        while self.listener is None and not self.closed:
-            self.scheduler.sleep(self.clock() + PAUSE)
+        while self.listener is None and not self.is_closed:
+            self.scheduler.sleep(self.clock() + RETRY_DELAY)
             self.listen()
-        self.accept()
+        self.accept_connections()
 
-    def accept(self) -> None:
+    def accept_connections(self) -> None:
         while self.listener is not None:
             # Danger: callers that hold a connection with no whole call take every seat. The one that has had most time goes.
-            if not self.seats.take("admin"):
-                if self.reading:
-                    oldest = next(iter(self.reading))
-                    del self.reading[oldest]
+            if not self.connection_budget.take("admin"):
+                if self.reading_streams:
+                    oldest = next(iter(self.reading_streams))
+                    del self.reading_streams[oldest]
                     oldest.close()
                 else:
-                    self.scheduler.sleep(self.clock() + PAUSE)
+                    self.scheduler.sleep(self.clock() + RETRY_DELAY)
                 continue
             try:
                 sock, _ = self.listener.accept()
             except OSError as error:
-                self.seats.give("admin")
+                self.connection_budget.give("admin")
                 if error.errno in (errno.EAGAIN, errno.EWOULDBLOCK):
                     self.scheduler.wait(self.listener.fileno(), READ)
                 else:
-                    self.scheduler.sleep(self.clock() + PAUSE)
+                    self.scheduler.sleep(self.clock() + RETRY_DELAY)
                 continue
-            stream = HttpStream(self.scheduler, sock, "admin", self.seats, answers=False)
-            self.reading[stream] = True
-            self.scheduler.spawn(self.serve, stream)
+            stream = HttpStream(
+                self.scheduler, sock, "admin", self.connection_budget, reads_responses=False
+            )
+            self.reading_streams[stream] = True
+            self.scheduler.spawn(self.serve_connection, stream)
             # what has come on it is read before another can take its seat
             self.scheduler.pause()
 
-    def serve(self, stream) -> None:
-        until = self.clock() + WITHIN
+    def serve_connection(self, stream) -> None:
+        until = self.clock() + REQUEST_TIMEOUT
         try:
             try:
-                status, body = self.page(stream.head(until))
-            except http.Malformed as error:
+                status, body = self.respond(stream.read_head(until))
+            except http.MalformedMessage as error:
                 status, body = 400, str(error).encode()
-            self.reading.pop(stream, None)
+            self.reading_streams.pop(stream, None)
             stream.send(
-                http.answer(status, (("Allow", "GET"),) if status == 405 else (), body, close=True),
+                http.build_response(
+                    status, (("Allow", "GET"),) if status == 405 else (), body, close=True
+                ),
                 until,
             )
-            finish(stream, LINGER, LINGER_MOST)
+            finish(stream, LINGER_TIMEOUT, MAX_LINGER_BYTES)
         except (Broken, Late, OSError):
             pass
         finally:
-            self.reading.pop(stream, None)
+            self.reading_streams.pop(stream, None)
             stream.close()
 
-    def page(self, head):
-        method, target, _ = head.first
+    def respond(self, head):
+        method, target, _ = head.start_line
         page = self.pages.get(target.partition("?")[0])
         if page is None:
             return 404, b"only /ready and /metrics are here\n"
         return page() if method == "GET" else (405, b"only GET is served here\n")
 
     def close(self) -> None:
-        listener, self.listener, self.closed = self.listener, None, True
+        listener, self.listener, self.is_closed = self.listener, None, True
         if listener is not None:
             self.scheduler.cut(listener.fileno())
             listener.close()
--- a/molehill/http/answers.py
+++ b/molehill/http/host_responses.py
@@ -9,10 +9,10 @@
 from molehill.core.permission import Refusal
 from molehill.interface import Result
 
-SECOND_DIGITS = 9  # of a decimal second, down to a nanosecond
-LONGEST_WAIT = 3600 * SECOND
+SECOND_DECIMALS = 9  # of a decimal second, down to a nanosecond
+MAX_RETRY_AFTER = 3600 * SECOND
 # status -> outcome of a call of one; 200 in a call of several is read line by line
-STATUS = {
+END_BY_STATUS = {
     200: ev.AttemptOutcome("", Result.DELIVERED, completed=True),
     500: ev.AttemptOutcome("", Result.ERROR),
     429: ev.AttemptOutcome("", Result.REFUSED),
@@ -24,45 +24,45 @@
         "", Result.NOT_SENT, attempts_exhausted=True, reason=Refusal.HOST_SAYS_SPENT
     ),
 }
-LINES = {
-    "delivered": STATUS[200],
-    "failed": STATUS[500],
-    "refused": STATUS[503],
-    "over": STATUS[410],
-    "spent": STATUS[504],
+END_BY_WORD = {
+    "delivered": END_BY_STATUS[200],
+    "failed": END_BY_STATUS[500],
+    "refused": END_BY_STATUS[503],
+    "over": END_BY_STATUS[410],
+    "spent": END_BY_STATUS[504],
 }
-REPORT = re.compile(
+LOAD_REPORT = re.compile(
     r"\w+=\d+(\.\d+)?([eE][+-]?\d+)?( *, *\w+=\d+(\.\d+)?([eE][+-]?\d+)?)*", re.ASCII
 )
-NO_ROOM = ev.AttemptOutcome("", Result.NO_CONNECT)
+NO_CONNECTION_ROOM = ev.AttemptOutcome("", Result.NO_CONNECT)
 LINE_BUSY = ev.AttemptOutcome("", Result.NOT_SENT, reason=Refusal.LINE_BUSY)
-OTHER = ev.AttemptOutcome(
+UNKNOWN_ANSWER = ev.AttemptOutcome(
     "", Result.ERROR
 )  # an answer that the protocol does not know: it may have run
 
 
-def outcome(head, fresh: bool) -> ev.AttemptOutcome:
-    """Of a call of one, or of several that fare alike. `fresh`: the call was the first on its connection."""
+def call_end(head, on_new_connection: bool) -> ev.AttemptOutcome:
+    """Of a call of one, or of several that fare alike. `on_new_connection`: the call was the first on its connection."""
     if head.status != 503:
-        return STATUS.get(head.status, OTHER)
+        return END_BY_STATUS.get(head.status, UNKNOWN_ANSWER)
     if head.headers.get("x-line-busy") == "1":
         return LINE_BUSY
     # Danger: a host that holds as many connections as it takes says so by this, and only to those who have none. Taken for a
     # limit that is used up, relays that hold idle ones go on holding them, and the others wait for room that is there.
-    if not head.keep and fresh:
-        return NO_ROOM
-    return STATUS[503]
+    if not head.keep_alive and on_new_connection:
+        return NO_CONNECTION_ROOM
+    return END_BY_STATUS[503]
 
 
-def outcomes_by_line(members, body: bytes, wait: int) -> list[ev.AttemptOutcome]:
+def ends_by_line(members, body: bytes, wait: int) -> list[ev.AttemptOutcome]:
     """Each callback's end by the answer's lines; one that no line names may have run. `wait`: told with the answer, in ns."""
-    told = {}
+    reported = {}
     for line in body.decode("latin-1").splitlines():
-        ident, _, word = line.strip().rpartition(" ")
-        told[ident.strip()] = LINES.get(word, OTHER)
+        callback_id, _, word = line.strip().rpartition(" ")
+        reported[callback_id.strip()] = END_BY_WORD.get(word, UNKNOWN_ANSWER)
     ends = []
     for member in members:
-        end = told.get(member.id, ev.AttemptOutcome("", Result.RESET))
+        end = reported.get(member.id, ev.AttemptOutcome("", Result.RESET))
         ends.append(
             replace(end, id=member.id, retry_after=wait if end.result is Result.REFUSED else 0)
         )
@@ -71,23 +71,23 @@
     return ends
 
 
-def told_limit(head, tells_limit: bool) -> tuple[float, Optional[float]]:
+def advertised_limit(head, tells_limit: bool) -> tuple[float, Optional[float]]:
     """The limit in calls a second and the share of it that is left; 0 and None where none is told or the report is spoilt, be it in
     another field."""
     report = head.headers.get("srv-load", "")
-    if not tells_limit or not REPORT.fullmatch(report):
+    if not tells_limit or not LOAD_REPORT.fullmatch(report):
         return 0.0, None
     values = dict(part.strip().split("=") for part in report.split(","))
-    rate, left = float(values.get("x1", 0.0)), float(values.get("x0", -1.0))
+    rate, remaining_share = float(values.get("x1", 0.0)), float(values.get("x0", -1.0))
     if not 0.0 < rate < 1e9:
         return 0.0, None
-    return rate, min(left, 1.0) if left >= 0.0 else None
+    return rate, min(remaining_share, 1.0) if remaining_share >= 0.0 else None
 
 
 def retry_after(head) -> int:
     """The told wait in nanoseconds, whole or decimal seconds; 0 where none is told."""
     try:
-        wait = nanos(head.headers.get("retry-after", "0"), SECOND_DIGITS)
+        wait = nanos(head.headers.get("retry-after", "0"), SECOND_DECIMALS)
     except ConfigError:
         return 0
-    return max(0, min(wait, LONGEST_WAIT))
+    return max(0, min(wait, MAX_RETRY_AFTER))
--- a/molehill/http/idle_connections.py
+++ b/molehill/http/idle_connections.py
@@ -8,12 +8,12 @@
 class IdleConnections(dict[str, list[HttpStream]]):
     """By host, the one used last at the end of each list.
 
-    `clock()`: nanoseconds; `keep`: for how long, in nanoseconds, one may stand idle before it is used no more.
+    `clock()`: nanoseconds; `max_idle_time`: for how long, in nanoseconds, one may stand idle before it is used no more.
     """
 
-    def __init__(self, clock: Callable[[], int], keep: int):
+    def __init__(self, clock: Callable[[], int], max_idle_time: int):
         super().__init__()
-        self.clock, self.keep = clock, keep
+        self.clock, self.max_idle_time = clock, max_idle_time
 
     def put(self, host: str, stream: HttpStream, since: int) -> None:
         """Keeps a connection that has stood idle since then."""
@@ -25,18 +25,18 @@
         streams = self.get(host, [])
         while streams:
             stream = streams.pop()
-            if not self.is_useless(stream):
+            if not self.is_unusable(stream):
                 return stream
             stream.close()
         return None
 
-    def is_useless(self, stream: HttpStream) -> bool:
+    def is_unusable(self, stream: HttpStream) -> bool:
         """Whether it is too old, or the host has ended it or sent what nobody asked for."""
-        return stream.idle_since <= self.clock() - self.keep or not stream.quiet()
+        return stream.idle_since <= self.clock() - self.max_idle_time or not stream.quiet()
 
-    def close_useless(self) -> None:
+    def close_unusable(self) -> None:
         for host, streams in list(self.items()):
-            for stream in [stream for stream in streams if self.is_useless(stream)]:
+            for stream in [stream for stream in streams if self.is_unusable(stream)]:
                 streams.remove(stream)
                 stream.close()
             if not streams:
--- a/molehill/http/notices.py
+++ b/molehill/http/notices.py
@@ -10,140 +10,146 @@
 from molehill.runtime.trace import NO_TRACE, Step
 
 # notices in one request: under 64 KiB with the longest ids, 1,024 characters
-BATCH = 50
+MAX_BATCH = 50
 # an answer comes at once; a lost request is sent again inside the rules' 300 ms
-FIRST_WITHIN = 120 * MS
+FIRST_TIMEOUT = 120 * MS
 # after a second quick failure, then doubled: a few more fit into the 300 ms
-PAUSE = 10 * MS
+RETRY_DELAY = 10 * MS
 # at most for an answer, half of it between tries, while none comes
-LONGEST = 2000 * MS
-IDLE = 2000 * MS  # a connection that stood longer is not used again
+MAX_TIMEOUT = 2000 * MS
+MAX_IDLE_TIME = 2000 * MS  # a connection that stood longer is not used again
 
 
-class Declined(Broken):
+class UnexpectedStatus(Broken):
     """Answered, but not by 204."""
 
 
 class Notices:
     def __init__(self, scheduler, config, budget, post):
-        self.scheduler, self.config, self.post, self.answered = scheduler, config, post, 0
-        self.clock, self.waiting, self.task = scheduler.clock, {}, None
-        self.later = {}  # those that may not go yet
-        self.resting, self.failed, self.given = False, 0, {}
-        # when the notices that wait for their answer were begun; `hurried`: cut short for a new one
-        self.posted, self.hurried = 0, False
+        self.scheduler, self.config, self.post, self.answered_at = scheduler, config, post, 0
+        self.clock, self.unanswered, self.task = scheduler.clock, {}, None
+        self.scheduled = {}  # those that may not go yet
+        self.is_backing_off, self.failed_at, self.handed_over = False, 0, {}
+        # when the notices that wait for their answer were begun; `was_cut_short`: cut short for a new one
+        self.sent_at, self.was_cut_short = 0, False
         self.trace = NO_TRACE
-        self.line = Single(scheduler, lambda: config.discovery, "notices", budget, HttpStream)
+        self.connection = Single(scheduler, lambda: config.discovery, "notices", budget, HttpStream)
 
-    def notify(self, effect) -> None:
+    def send_notice(self, effect) -> None:
         """Sends it, at its time; told again with an earlier time, it goes then."""
-        if effect.id in self.waiting:
+        if effect.id in self.unanswered:
             return
         if effect.not_before > self.clock():
-            self.later[effect.id] = effect
-            self.scheduler.at(effect.not_before, self._now, effect)
+            self.scheduled[effect.id] = effect
+            self.scheduler.at(effect.not_before, self._send_scheduled, effect)
         else:
-            self.later.pop(effect.id, None)
-            self._send(effect)
+            self.scheduled.pop(effect.id, None)
+            self._enqueue(effect)
 
-    def _now(self, effect) -> None:
-        if self.later.get(effect.id) is effect:
-            del self.later[effect.id]
-            self._send(effect)
+    def _send_scheduled(self, effect) -> None:
+        if self.scheduled.get(effect.id) is effect:
+            del self.scheduled[effect.id]
+            self._enqueue(effect)
 
-    def _send(self, effect) -> None:
-        self.waiting[effect.id] = effect
+    def _enqueue(self, effect) -> None:
+        self.unanswered[effect.id] = effect
         if self.task is None:
             self.task = self.scheduler.spawn_kept(self._send_all)
         # danger: a new one shall not be late for what became of others
-        elif self.resting:
-            self.scheduler.at(self.failed + PAUSE, self._wake)
+        elif self.is_backing_off:
+            self.scheduler.at(self.failed_at + RETRY_DELAY, self._retry_now)
         else:
-            self.scheduler.at(self.posted + FIRST_WITHIN, self._hurry, self.posted)
+            self.scheduler.at(self.sent_at + FIRST_TIMEOUT, self._cut_wait_short, self.sent_at)
 
-    def _wake(self) -> None:
-        if self.resting and self.clock() >= self.failed + PAUSE:
+    def _retry_now(self) -> None:
+        if self.is_backing_off and self.clock() >= self.failed_at + RETRY_DELAY:
             self.scheduler.resume(self.task)
 
-    def _hurry(self, posted: int) -> None:
+    def _cut_wait_short(self, sent_at: int) -> None:
         """Danger: after lost answers the others' notices wait longer for theirs than this one has time."""
-        if self.task is not None and not self.resting and self.posted == posted:
-            self.hurried = True
-            self.line.close()
+        if self.task is not None and not self.is_backing_off and self.sent_at == sent_at:
+            self.was_cut_short = True
+            self.connection.close()
 
-    def calm(self) -> bool:
+    def is_quiescent(self) -> bool:
         """Whether none is out. Those that may not go yet pass to a next process by the log, like all that are owed."""
-        return not self.waiting
+        return not self.unanswered
 
     @property
-    def owed(self) -> int:
+    def pending_count(self) -> int:
         """Notices that are not answered yet."""
-        return len(self.waiting) + len(self.later)
+        return len(self.unanswered) + len(self.scheduled)
 
-    def give(self) -> None:
+    def hand_over(self) -> None:
         """What is not answered is the next process's to send; there it is owed by the log."""
-        self.given, self.waiting, self.later = {**self.waiting, **self.later}, {}, {}
-        self.line.close()
+        self.handed_over, self.unanswered, self.scheduled = (
+            {**self.unanswered, **self.scheduled},
+            {},
+            {},
+        )
+        self.connection.close()
 
-    def go_on(self) -> None:
+    def take_back(self) -> None:
         """Danger: the next process is gone, and what it was to send is still owed."""
-        given, self.given = self.given, {}
-        for notice in given.values():
-            self.notify(notice)
+        handed_over, self.handed_over = self.handed_over, {}
+        for notice in handed_over.values():
+            self.send_notice(notice)
 
-    def move(self) -> None:
+    def change_address(self) -> None:
         """The platform has another address: what was posted and not answered goes there too."""
-        self.line.close()
+        self.connection.close()
 
     def _send_all(self) -> None:
-        tries, most = 0, BATCH
-        while self.waiting:
-            batch = list(self.waiting.values())[:most]
-            span = min(FIRST_WITHIN << min(tries, 8), LONGEST)
-            self.posted = self.clock()
+        failures, batch_limit = 0, MAX_BATCH
+        while self.unanswered:
+            batch = list(self.unanswered.values())[:batch_limit]
+            timeout = min(FIRST_TIMEOUT << min(failures, 8), MAX_TIMEOUT)
+            self.sent_at = self.clock()
             try:
-                self._post(batch, self.posted + span)
-            except (Broken, Late, http.Malformed) as error:
-                self.line.close()
-                tries += 1
+                self._send_batch(batch, self.sent_at + timeout)
+            except (Broken, Late, http.MalformedMessage) as error:
+                self.connection.close()
+                failures += 1
                 # one that can't be read shall not hold up the others
-                if isinstance(error, Declined):
-                    most = 1
-                    if batch[0].id in self.waiting:
-                        self.waiting[batch[0].id] = self.waiting.pop(batch[0].id)
+                if isinstance(error, UnexpectedStatus):
+                    batch_limit = 1
+                    if batch[0].id in self.unanswered:
+                        self.unanswered[batch[0].id] = self.unanswered.pop(batch[0].id)
                 # the first failure may be a kept connection's: at once on a new one
-                hurried, self.hurried = self.hurried, False
-                if tries > 1 and not hurried:
-                    self.resting, self.failed = True, self.clock()
-                    self.scheduler.sleep(self.failed + min(PAUSE << min(tries, 8), LONGEST) // 2)
-                    self.resting = False
+                was_cut_short, self.was_cut_short = self.was_cut_short, False
+                if failures > 1 and not was_cut_short:
+                    self.is_backing_off, self.failed_at = True, self.clock()
+                    self.scheduler.sleep(
+                        self.failed_at + min(RETRY_DELAY << min(failures, 8), MAX_TIMEOUT) // 2
+                    )
+                    self.is_backing_off = False
                 continue
-            tries, most = 0, min(2 * most, BATCH)
+            failures, batch_limit = 0, min(2 * batch_limit, MAX_BATCH)
             for notice in batch:
-                self.waiting.pop(notice.id, None)
+                self.unanswered.pop(notice.id, None)
                 self.trace.record(Step.NOTICE_ANSWERED, notice.id)
             self.post(ev.NoticesDelivered([notice.id for notice in batch]))
         self.task = None
 
-    def _post(self, batch, until) -> None:
-        if self.clock() - self.answered > IDLE:
-            self.line.close()
-        stream = self.line.get(until)
+    def _send_batch(self, batch, until) -> None:
+        if self.clock() - self.answered_at > MAX_IDLE_TIME:
+            self.connection.close()
+        stream = self.connection.get(until)
         rows = []
         for notice in batch:
             row = {"ref": notice.id, "result": "bounced" if notice.rejected else "dead"}
             if notice.rejected and notice.retry_after:
                 row["wait_ms"] = -(-notice.retry_after // MS)
             rows.append(json.dumps(row, separators=(",", ":")) + "\n")
-        data = http.request(
+        data = http.build_request(
             "POST", "/v2/finals", "%s:%d" % self.config.discovery, (), "".join(rows).encode()
         )
         stream.send(data, until)
         for notice in batch:
             self.trace.record(Step.NOTICE_WRITTEN, notice.id, denied=notice.rejected)
-        head = stream.answer(until)
+        head = stream.read_response_head(until)
         if head.status != 204:
-            raise Declined(f"status {head.status}")
-        self.answered = self.clock()
-        if not head.keep:
-            self.line.close()
+            raise UnexpectedStatus(f"status {head.status}")
+        self.answered_at = self.clock()
+        if not head.keep_alive:
+            self.connection.close()
--- a/molehill/http/stream.py
+++ b/molehill/http/stream.py
@@ -1,52 +1,60 @@
 """A connection that speaks HTTP/1.1: heads, interim answers and bodies off its one buffer."""
 
-from molehill.http.parser import BODY_MOST, HEAD_MOST, Malformed, Parser
+from molehill.http.parser import MAX_BODY_BYTES, MAX_HEAD_BYTES, MalformedMessage, Parser
 from molehill.runtime.stream import Broken, Stream
 
-MORE = HEAD_MOST + 1024  # bytes of one message beside its body, and some of the next
+HEAD_ALLOWANCE = MAX_HEAD_BYTES + 1024  # bytes of one message beside its body, and some of the next
 
 
 class HttpStream(Stream):
-    """What is read are answers, or requests where `answers` is false; `most`: bytes of a body."""
-
-    def __init__(self, scheduler, sock, kind, budget, answers: bool = True, most: int = BODY_MOST):
-        super().__init__(scheduler, sock, kind, budget, MORE + most)
-        self.parser, self.interim = Parser(self.buffer, answers, most), 0
-
-    def head(self, until):
-        while (head := self.parser.head()) is None:
+    """What is read are answers, or requests where `reads_responses` is false; `max_body_bytes`: bytes of a body."""
+
+    def __init__(
+        self,
+        scheduler,
+        sock,
+        kind,
+        budget,
+        reads_responses: bool = True,
+        max_body_bytes: int = MAX_BODY_BYTES,
+    ):
+        super().__init__(scheduler, sock, kind, budget, HEAD_ALLOWANCE + max_body_bytes)
+        self.parser, self.interim_count = Parser(self.buffer, reads_responses, max_body_bytes), 0
+
+    def read_head(self, until):
+        while (head := self.parser.next_head()) is None:
             self.read(until)
         return head
 
     def unread_message(self) -> bytes:
-        return self.parser.raw + super().unread_message()
+        return self.parser.raw_head + super().unread_message()
 
-    INTERIM_MOST = 16  # answers of 1xx before the real one; more is no answer
+    MAX_INTERIM_RESPONSES = 16  # answers of 1xx before the real one; more is no answer
 
-    def answer(self, until):
+    def read_response_head(self, until):
         """The head of an answer; interim ones before it are passed over."""
-        head = self.head(until)
+        head = self.read_head(until)
         while 100 <= head.status < 200:
-            self.parser.line, self.interim = b"", self.interim + 1
-            if self.interim > self.INTERIM_MOST:
-                raise Malformed(400, "interim answers without end")
-            head = self.head(until)
-        self.interim = 0
+            self.parser.start_line_bytes, self.interim_count = b"", self.interim_count + 1
+            if self.interim_count > self.MAX_INTERIM_RESPONSES:
+                raise MalformedMessage(400, "interim answers without end")
+            head = self.read_head(until)
+        self.interim_count = 0
         return head
 
-    def body(self, head, until) -> bytes:
+    def read_body(self, head, until) -> bytes:
         """A body of told length or in chunks; where nothing is told, all up to the end of the stream."""
-        if head.chunked:
-            while (body := self.parser.chunked()) is None:
+        if head.is_chunked:
+            while (body := self.parser.chunked_body()) is None:
                 self.read(until)
             return body
-        if head.length is not None:
-            while len(self.buffer) < head.length:
+        if head.content_length is not None:
+            while len(self.buffer) < head.content_length:
                 self.read(until)
-            return self.buffer.take(head.length)
-        head.keep = False
+            return self.buffer.take(head.content_length)
+        head.keep_alive = False
         try:
-            while len(self.buffer) <= self.parser.most:
+            while len(self.buffer) <= self.parser.max_body_bytes:
                 self.read(until)
         except Broken:
             return self.buffer.take(len(self.buffer))
--- a/molehill/http/given_up.py
+++ b/molehill/http/timed_out_calls.py
@@ -13,41 +13,41 @@
 from molehill.runtime.trace import NO_TRACE, Step
 
 
-class GivenUpCalls:
+class TimedOutCalls:
     """The connections of given-up calls, by the call's number, the oldest first."""
 
-    def __init__(self, scheduler, post, most: int):
-        """`post` takes an `ev.HostFinishedReading` for each call that was kept; `most`: connections at once."""
-        self.scheduler, self.post, self.most = scheduler, post, most
+    def __init__(self, scheduler, post, max_streams: int):
+        """`post` takes an `ev.HostFinishedReading` for each call that was kept; `max_streams`: connections at once."""
+        self.scheduler, self.post, self.max_streams = scheduler, post, max_streams
         self.streams: dict[int, HttpStream] = {}
         self.trace = NO_TRACE
 
-    def keep(self, number: int, ids: list[str], stream: HttpStream, until: int) -> None:
+    def await_host_close(self, number: int, ids: list[str], stream: HttpStream, until: int) -> None:
         """Ends the sending of that call, and waits until then, in nanoseconds of the clock, for the host's end."""
-        while len(self.streams) >= self.most:
+        while len(self.streams) >= self.max_streams:
             self.close_oldest()
         try:
             stream.sock.shutdown(socket.SHUT_WR)
         except OSError:
             pass  # it has ended already, which the first look at it tells
         self.streams[number] = stream
-        self.scheduler.spawn(self._wait, number, ids, stream, until)
+        self.scheduler.spawn(self._wait_for_host, number, ids, stream, until)
 
-    def _wait(self, number: int, ids: list[str], stream: HttpStream, until: int) -> None:
-        seen = True
+    def _wait_for_host(self, number: int, ids: list[str], stream: HttpStream, until: int) -> None:
+        host_ended = True
         try:
             stream.read(until)
         except Late:
-            seen = False
+            host_ended = False
         except Broken:
-            seen = stream.open  # else closed here, to make room
+            host_ended = stream.open  # else closed here, to make room
         finally:
             stream.close()
             self.streams.pop(number, None)
-        if seen:
-            for ident in ids:
-                self.trace.record(Step.HOST_ENDED_CONNECTION, ident, call=number)
-        self.post(ev.HostFinishedReading(number, seen))
+        if host_ended:
+            for callback_id in ids:
+                self.trace.record(Step.HOST_ENDED_CONNECTION, callback_id, call=number)
+        self.post(ev.HostFinishedReading(number, host_ended))
 
     def close_oldest(self) -> bool:
         """Makes room for another connection; whether there was one to close."""
--- a/molehill/relay.py
+++ b/molehill/relay.py
@@ -84,10 +84,10 @@
             self.scheduler, config, budget, engine.post, self.core.refusal, self.core.metrics
         )
         self.notices = engine.notices = Notices(self.scheduler, config, budget, engine.post)
-        self.clients.turned_away = self.core.count_rejected
+        self.clients.on_rejected = self.core.count_rejected
         trace = self.open_trace()
         engine.trace = self.clients.trace = self.hosts.trace = self.notices.trace = trace
-        self.hosts.given_up.trace = trace
+        self.hosts.timed_out_calls.trace = trace
         self.discovery = engine.discovery = Discovery(
             self.scheduler, config, budget, engine.post, self.core.received_list
         )
@@ -110,13 +110,13 @@
         self.scheduler.spawn_kept(self.on_signals)
         estate, unread = self.start.estate, {}
         if estate is None:
-            self.discovery.begin()
+            self.discovery.restore_list()
         else:
-            self.discovery.begin(
+            self.discovery.restore_list(
                 {"endpoints": estate.hosts, "index": estate.state["version"] or 0, "snapshot": True}
             )
             self.engine.post(upgrade.inherit(self, estate))
-            unread["unread"] = self.scheduler.clock() - estate.state["began"]
+            unread["read_delay"] = self.scheduler.clock() - estate.state["began"]
             self.start.estate = None
             self.catch_up()
         if self.membership is not None:
@@ -126,7 +126,7 @@
         self.engine.post(ev.Start())
         self.engine.keep_flushing(self.sink)
         self.engine.keep_counting()
-        self.clients.begin(**unread)
+        self.clients.start_serving(**unread)
         if self.config.admin is not None:
             self.handover_server = upgrade.HandoverServer(self)
         for number in self.start.seen:
@@ -157,7 +157,7 @@
         self.log.info(
             "ended",
             held=len(self.core.callbacks),
-            out=self.hosts.out,
+            out=self.hosts.calls_in_flight,
             broken=invariants.breach_counts,
         )
         self.sink.flush()
@@ -207,8 +207,8 @@
             self.retune(new)
         self.config.discovery_in_file = new.discovery_in_file
         if moved:
-            self.notices.move()
-            self.discovery.move()
+            self.notices.change_address()
+            self.discovery.change_address()
 
     def retune(self, new) -> None:
         names = list(new.categories)
@@ -241,10 +241,14 @@
     def hold(self) -> None:
         """Finishes what has begun, and begins nothing."""
         self.engine.post(ev.PauseCalls(True))
-        self.clients.hold()
+        self.clients.pause_requests()
 
     def calm(self) -> bool:
-        return self.clients.calm() and self.hosts.calm() and self.notices.calm()
+        return (
+            self.clients.is_quiescent()
+            and self.hosts.is_quiescent()
+            and self.notices.is_quiescent()
+        )
 
     def give(self, began: int):
         self.engine.post(ev.Step())  # what was read is decided, and in the log
@@ -257,23 +261,23 @@
         """The next process is gone: what was to pass is taken back, and all goes on. Danger: a connection that is closed here with
         an answer unread on it makes a callback that was delivered run once more."""
         self.scheduler.pause()  # the tasks of what passed have ended by then
-        self.hosts.go_on([row for row in rows if row[0]["k"] in ("call", "idle")])
-        self.notices.go_on()
+        self.hosts.take_back([row for row in rows if row[0]["k"] in ("call", "idle")])
+        self.notices.take_back()
         self.engine.thaw()
         if self.membership is not None:
             self.membership.begin()
         self.engine.post(ev.PauseCalls(False))
-        self.clients.go_on(
+        self.clients.take_back(
             [row for row in rows if row[0]["k"] == "client"], self.scheduler.clock() - began
         )
 
     def gave(self) -> None:
         """The next process has it all; this one has nothing left to do but to end."""
-        self.given, self.clients.ready = True, False
+        self.given, self.clients.is_ready = True, False
         self.store.close()
         self.scheduler.machine.close(self.lock)
         self.clients.close_listener()
-        self.discovery.line.close()
+        self.discovery.connection.close()
         self.core.metrics.open_requests = 0
         if self.shutdown.state is not SERVING:
             self.shutdown.move(ENDED)
--- a/molehill/runtime/engine.py
+++ b/molehill/runtime/engine.py
@@ -101,20 +101,20 @@
     def carry_out(self, effect, kind) -> None:
         if kind is ev.Answer:
             self.trace.record(Step.ANSWERED, effect.id, status=effect.status, why=effect.reason)
-            self.clients.answer(effect)
+            self.clients.answer_request(effect)
         elif kind is ev.Call:
-            self.hosts.call(effect)
+            self.hosts.start_call(effect)
         elif kind is ev.Notify:
             self.trace.record(
                 Step.ENDED, effect.id, denied=effect.rejected, not_before=effect.not_before
             )
             self.notify(effect)
         elif kind is ev.CloseIdle:
-            self.hosts.close_idle(effect.host)
+            self.hosts.close_idle_connections(effect.host)
         elif kind is ev.Abort:
-            self.hosts.abort(effect.call)
+            self.hosts.abort_call(effect.call)
         elif kind is ev.WatchHostList:
-            self.discovery.watch()
+            self.discovery.start_watch()
         elif kind is ev.NotSent:
             self.log_not_sent(effect)
         else:
@@ -129,7 +129,7 @@
             self.withheld[effect.id] = effect
             self.scheduler.at(effect.deadline, self.tell_unlogged, effect.id)
         else:
-            self.notices.notify(effect)
+            self.notices.send_notice(effect)
 
     def tell_unlogged(self, number: str) -> None:
         """The time is up of a callback whose end is withheld."""
@@ -139,7 +139,7 @@
     def release(self, number: str) -> None:
         effect = self.withheld.pop(number, None)
         if effect is not None:
-            self.notices.notify(effect)
+            self.notices.send_notice(effect)
 
     def release_all(self) -> None:
         for number in list(self.withheld):
@@ -240,10 +240,10 @@
                 clients=came,
                 stood_ms=stood // MS,
                 held=len(self.core.callbacks),
-                out=self.hosts.out,
+                out=self.hosts.calls_in_flight,
                 outcomes=done,
                 not_sent=kept_back,
-                notices=self.notices.owed,
+                notices=self.notices.pending_count,
                 log_bytes=self.store.size,
                 broken=sum(breach_counts.values()),
             )
--- a/molehill/shutdown.py
+++ b/molehill/shutdown.py
@@ -72,20 +72,26 @@
         """Whether somebody may still get what it waits for."""
         process = self.process
         if self.state is LAST_ANSWERS:
-            return bool(process.clients.conns or process.notices.owed or process.hosts.out)
-        return self.state is CUTTING and not process.clients.calm()
+            return bool(
+                process.clients.connections
+                or process.notices.pending_count
+                or process.hosts.calls_in_flight
+            )
+        return self.state is CUTTING and not process.clients.is_quiescent()
 
     def move(self, state) -> None:
         """Every change of the state, and what it brings with it."""
         process, before, self.state = self.process, self.state, state
         check_invariant(state in NEXT[before], "shutdown_state", before=before, after=state)
         if state is STOPPING:
-            process.log.info("stopping", held=len(process.core.callbacks), out=process.hosts.out)
+            process.log.info(
+                "stopping", held=len(process.core.callbacks), out=process.hosts.calls_in_flight
+            )
             process.engine.post(ev.Stop(self.told + AT[LAST_ANSWERS]))
         elif state is LETTING_GO:
-            process.clients.let_go()
+            process.clients.stop_accepting()
         elif state is LAST_ANSWERS:
-            process.clients.close_idle()
+            process.clients.close_idle_connections()
         elif state is CUTTING:
             process.clients.close_unfinished()
         else:
--- a/molehill/startup.py
+++ b/molehill/startup.py
@@ -9,7 +9,7 @@
 from molehill import log_clock
 from molehill.config import SECOND, ConfigError
 from molehill.core.metrics import Metrics
-from molehill.http.admin import Admin
+from molehill.http.admin import AdminServer
 from molehill.runtime.log import logger
 from molehill.runtime.scheduler import Scheduler
 from molehill.store import Store
@@ -53,7 +53,7 @@
         self.lock = self.waits_for = None
         self.try_lock()
         if config.admin is not None:
-            self.admin = Admin(
+            self.admin = AdminServer(
                 self.scheduler,
                 config.admin,
                 lambda: self.process is not None and self.process.can_serve(),
--- a/molehill/upgrade.py
+++ b/molehill/upgrade.py
@@ -17,7 +17,7 @@
 
 from molehill.config import MS, SECOND, ConfigError
 from molehill.core import events as ev
-from molehill.http.discovery import listed
+from molehill.http.discovery import list_entry
 from molehill.runtime.line import Line
 from molehill.runtime.scheduler import CUT, READ
 from molehill.runtime.stream import Broken, Late
@@ -216,7 +216,7 @@
         process.hold()
         while self.clock() < began + CALM_WITHIN and not process.calm():
             self.scheduler.sleep(self.clock() + MS)
-        process.clients.drop_busy()
+        process.clients.close_unanswered()
         # danger: their clients have not heard, and the next process could not know
         self.scheduler.pause()
         rows, error, until = process.give(began), None, self.clock() + PASS_WITHIN
@@ -247,13 +247,13 @@
     core, rows = process.core, []
     state, learnt = core.handover_state()
     rows += [
-        ({"k": "host", "row": listed(host, process.config)}, b"", None)
+        ({"k": "host", "row": list_entry(host, process.config)}, b"", None)
         for host in core.hosts.values()
     ]
     rows += [({"k": "learnt", "row": row}, b"", None) for row in learnt]
-    calls = process.hosts.give()
-    process.notices.give()
-    rows += process.clients.give() + calls
+    calls = process.hosts.hand_over()
+    process.notices.hand_over()
+    rows += process.clients.hand_over() + calls
     rows.append(({"k": "listener"}, b"", process.clients.listener))
     state.update(
         k="state",
@@ -274,7 +274,7 @@
     for message, body, sock in estate.conns:
         kind = message["k"]
         if kind == "client":
-            process.clients.adopt(message, body, sock)
+            process.clients.adopt_connection(message, body, sock)
             continue
         if kind == "call":
             until = min(m[1] for m in message["members"])
@@ -284,7 +284,7 @@
         ids = [number for number, _ in message.get("members", ())]
         if kind == "call" and not ids or message["host"] not in process.core.hosts:
             sock.close()
-        elif process.hosts.adopt(message, body, sock):
+        elif process.hosts.adopt_connection(message, body, sock):
             if kind == "call":
                 calls.append((message["n"], message["host"], ids, message["start"], until))
             continue
--- a/tests/place.py
+++ b/tests/place.py
@@ -65,9 +65,9 @@
         )
         self.relay.clients.listen()
         self.address = self.relay.clients.listener.getsockname()
-        self.relay.discovery.begin()
+        self.relay.discovery.restore_list()
         self.relay.engine.post(ev.Start())
-        self.relay.clients.ready = True
+        self.relay.clients.is_ready = True
         self.turn()
 
     def turn(self, rounds=40):
@@ -129,12 +129,14 @@
     old = place.relay
     old.store.close()
     streams = [
-        line.stream for line in (old.discovery.line, old.notices.line) if line.stream is not None
+        line.stream
+        for line in (old.discovery.connection, old.notices.connection)
+        if line.stream is not None
     ]
-    streams += [conn.stream for conn in old.clients.conns] + [
-        s for idle in old.hosts.idle.values() for s in idle
+    streams += [conn.stream for conn in old.clients.connections] + [
+        s for idle in old.hosts.idle_connections.values() for s in idle
     ]
-    streams += old.hosts.given_up.streams.values()
+    streams += old.hosts.timed_out_calls.streams.values()
     for sock in [stream.sock for stream in (*streams, *old.hosts.streams.values())] + [
         old.clients.listener
     ]:
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -9,14 +9,14 @@
 from molehill.config import ADMIN_SEATS
 from molehill.core.metrics import Metrics
 from molehill.core.permission import Refusal
-from molehill.http.admin import Admin
+from molehill.http.admin import AdminServer
 from tests.core_harness import MS, SECOND, NetHarness, drain
 
 
-class Door:
+class AdminHarness:
     def __init__(self):
-        self.net, self.ready, self.figures, self.open = NetHarness(), True, Metrics(["c"]), []
-        self.admin = Admin(
+        self.net, self.ready, self.figures, self.sockets = NetHarness(), True, Metrics(["c"]), []
+        self.admin = AdminServer(
             self.net.scheduler, ("127.0.0.1", 0), lambda: self.ready, self.figures.render
         )
         self.address = self.admin.listener.getsockname()
@@ -24,26 +24,26 @@
     def call(self, data=b""):
         sock = socket.create_connection(self.address)
         sock.setblocking(False)
-        self.open.append(sock)
+        self.sockets.append(sock)
         sock.send(data) if data else None
         self.net.settle()
         return sock
 
     def close(self):
         self.admin.close()
-        for sock in self.open:
+        for sock in self.sockets:
             sock.close()
 
 
 @pytest.fixture
-def door():
-    made = Door()
+def harness():
+    made = AdminHarness()
     yield made
     made.close()
 
 
 @pytest.mark.parametrize(
-    "ready,ask,status,body",
+    "ready,request_bytes,status,body",
     [
         (True, b"GET /ready HTTP/1.1\r\n\r\n", 200, b"ready"),
         (False, b"GET /ready HTTP/1.1\r\n\r\n", 503, b"not ready"),
@@ -61,33 +61,39 @@
         (True, b"GET /ready HTTP/1.1\r\nX: " + b"x" * 20_000, 400, b""),
     ],
 )
-def test_one_call_is_answered_and_its_connection_closed(door, ready, ask, status, body):
-    door.ready = ready
-    sock = door.call(ask)
-    door.net.advance(300 * MS)
+def test_a_request_is_answered_and_its_connection_closed(
+    harness, ready, request_bytes, status, body
+):
+    harness.ready = ready
+    sock = harness.call(request_bytes)
+    harness.net.advance(300 * MS)
     text = drain(sock)
     assert (
         text.startswith(b"HTTP/1.1 %d " % status) and body in text and b"Connection: close" in text
     )
-    assert drain(sock) is None and door.admin.seats.total() == 0
+    assert drain(sock) is None and harness.admin.connection_budget.total() == 0
 
 
-def test_callers_that_hold_a_connection_keep_nobody_out_and_leave_nothing_behind(door):
-    silent = [door.call(b"GET /re" if n % 2 else b"") for n in range(5 * ADMIN_SEATS)]
-    assert door.admin.seats.total() <= ADMIN_SEATS
+def test_silent_connections_block_no_others_and_leak_nothing(harness):
+    silent = [harness.call(b"GET /re" if n % 2 else b"") for n in range(5 * ADMIN_SEATS)]
+    assert harness.admin.connection_budget.total() <= ADMIN_SEATS
     for _ in range(3):
         assert b"200 OK" in drain(
-            door.call(b"GET /ready HTTP/1.1\r\n\r\n")
+            harness.call(b"GET /ready HTTP/1.1\r\n\r\n")
         ), "at once, though all seats are held"
     assert (
         drain(silent[0]) is None and drain(silent[-1]) == b""
     ), "the one that had most time goes first"
-    door.net.advance(3 * SECOND)
-    assert drain(silent[-1]) is None and door.admin.seats.total() == 0 and not door.admin.reading
-    assert list(door.net.scheduler.waiting) == [door.admin.listener.fileno()]
+    harness.net.advance(3 * SECOND)
+    assert (
+        drain(silent[-1]) is None
+        and harness.admin.connection_budget.total() == 0
+        and not harness.admin.reading_streams
+    )
+    assert list(harness.net.scheduler.waiting) == [harness.admin.listener.fileno()]
 
 
-def test_the_page_for_operators_names_each_figure_that_the_program_prints():
+def test_the_operators_page_lists_every_metric():
     page = (Path(__file__).parent.parent / "docs/operate/daily.md").read_text()
     figures = Metrics(["C"])
     figures.not_sent[Refusal.TIME_UP] = 1  # each reason has a row once it was met
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -8,7 +8,7 @@
 import pytest
 
 from molehill.core import events as ev
-from molehill.http.clients import ROOM
+from molehill.http.clients import FOR_NEW_CONNECTION
 from molehill.http.stream import HttpStream
 from molehill.interface import Result
 from molehill.runtime.kernel import Disk
@@ -97,7 +97,7 @@
     place.advance(50 * MS)
     text, how = end_of(client)
     assert text.startswith(b"HTTP/1.1 202") and text.count(b"HTTP/1.1") == 1 and how == "end"
-    assert list(place.relay.core.callbacks) == ["id1"] and not place.relay.clients.conns
+    assert list(place.relay.core.callbacks) == ["id1"] and not place.relay.clients.connections
 
 
 def test_a_request_that_comes_once_the_sending_has_ended_is_read_away_and_never_sent_on(place):
@@ -105,13 +105,13 @@
     client.send((ASK % b"id1").replace(b"Req-Id", b"Connection: close\r\nReq-Id"))
     place.hear(client, b"HTTP/1.1 202")
     assert (
-        drain(client) is None and place.relay.clients.conns
+        drain(client) is None and place.relay.clients.connections
     ), "its side of the connection has ended, and the other not yet"
     client.send(ASK % b"id2")
     place.advance(250 * MS)
     assert (
         list(place.relay.core.callbacks) == ["id1"]
-        and not place.relay.clients.conns
+        and not place.relay.clients.connections
         and place.relay.budget.used["client"] == 0
     )
 
@@ -133,9 +133,9 @@
         lambda stream: stream.kind == "client",
     )
     if how == "room":
-        assert place.relay.clients.close_idlest(ROOM)
+        assert place.relay.clients.close_longest_idle(FOR_NEW_CONNECTION)
     else:
-        place.relay.clients.close_idle()
+        place.relay.clients.close_idle_connections()
     place.turn()
     text, ended = end_of(client)
     assert (
@@ -143,7 +143,7 @@
         and not text
         and ended == "reset"
         and not place.relay.core.callbacks
-        and not place.relay.clients.conns
+        and not place.relay.clients.connections
     )
     again = place.client()
     again.send(ASK % b"id1")
@@ -160,7 +160,7 @@
     place.hear(client, b"200 OK")
     place.relay.shutdown.begin()
     place.advance(3295 * MS)
-    place.relay.clients.close_idle = lambda: None  # it comes too late for that look
+    place.relay.clients.close_idle_connections = lambda: None  # it comes too late for that look
     place.advance(10 * MS)
     place.clock.now = place.relay.shutdown.told + 3499 * MS
     client.send((ASK % b"id1")[: None if lies == "whole" else -1])
@@ -186,7 +186,7 @@
     place.open.remove(client)
     place.relay.engine.thaw()
     place.advance(50 * MS)
-    assert not place.relay.core.callbacks and not place.relay.hosts.out
+    assert not place.relay.core.callbacks and not place.relay.hosts.calls_in_flight
     kill(place)
     assert not place.relay.core.callbacks, "nor does the next process have it"
 
@@ -199,7 +199,7 @@
     client = place.client()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1)
     place.turn()
-    (conn,) = place.relay.clients.conns
+    (conn,) = place.relay.clients.connections
     conn.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1)
     client.send((ASK % b"id1").replace(b"Req-Id", b"Req-Deadline-Ms: %s\r\nReq-Id" % span))
     place.relay.engine.freeze()
@@ -214,7 +214,7 @@
     place.turn()
     assert place.relay.core.callbacks["id1"].state == "taken"
     place.advance(1100 * MS)
-    assert not place.relay.hosts.out and not place.relay.clients.conns
+    assert not place.relay.hosts.calls_in_flight and not place.relay.clients.connections
     assert [c.state for c in place.relay.core.callbacks.values()] == [left] * bool(
         left
     ), "ended at its time, or the client's again"
@@ -242,7 +242,7 @@
     place.hear(host, b"\r\n\r\nab")
     host.send(OK)
     place.advance(20 * MS)
-    assert place.relay.hosts.idle["h1"]
+    assert place.relay.hosts.idle_connections["h1"]
 
     def closes(stream):
         close(host)
@@ -264,7 +264,7 @@
             and place.relay.core.callbacks["id1"].state == "owed"
             and not place.relay.core.callbacks["id1"].rejected
         )
-        assert list(place.relay.notices.waiting) == ["id1"]
+        assert list(place.relay.notices.unanswered) == ["id1"]
 
 
 @pytest.mark.parametrize("meanwhile", ["time up", "draining", "removed", "told to wait"])
@@ -344,7 +344,7 @@
     assert (
         place.relay.core.callbacks["id1"].state == "owed"
         and not place.relay.core.callbacks["id1"].rejected
-        and not place.relay.hosts.out
+        and not place.relay.hosts.calls_in_flight
     )
 
 
@@ -369,7 +369,7 @@
     moved = place.listener()
     place.relay.config.discovery = moved.getsockname()
     old.send(b"x" * (99 - 12)) if begun else None  # lies there in the very turn of the move
-    place.relay.discovery.move()
+    place.relay.discovery.change_address()
     new = place.accept(moved)
     assert asks(place, new) == b"GET /registry/instances" and place.relay.discovery.version is None
     assert place.clock.now - place.relay.scheduler.clock() == 0 and list(
@@ -431,7 +431,7 @@
     place, ask
 ):
     """Danger: discovery is down at the restart, and what was taken on is turned away for a destination not heard of yet."""
-    place.relay.hosts.call = lambda call: place.relay.engine.post(
+    place.relay.hosts.start_call = lambda call: place.relay.engine.post(
         ev.CallEnded(
             call.number,
             0,
@@ -444,7 +444,7 @@
     forget_list(place)
     kill(place)
     place.advance(2 * SECOND)
-    assert place.relay.core.callbacks["id1"].state == "held" and not place.relay.notices.waiting
+    assert place.relay.core.callbacks["id1"].state == "held" and not place.relay.notices.unanswered
     watch, _ = comes(place, place.platform, b"/registry")
     body = json.dumps({**full.known, "snapshot": True, "index": 9}).encode()
     watch.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -15,7 +15,7 @@
 from tests.place import ASK, Place, kill
 
 
-def broken(plan, folder):
+def rule_violations(plan, folder):
     """What the run broke, with the stories of its requests."""
     findings, history = rig.play(plan, folder)
     return [
@@ -24,33 +24,33 @@
 
 
 # Each of them broke a rule at least once, as the relay stood before issue 56 or 60
-SOAKED, SOAKED_SPAN, SOAKED_AT_ONCE = (1, 2, 3, 5, 9, 10, 14, 15, 16, 18, 22, 24), 9.0, 4
+SOAK_SEEDS, SOAK_SECONDS, SOAK_PROCESSES = (1, 2, 3, 5, 9, 10, 14, 15, 16, 18, 22, 24), 9.0, 4
 
 
-def test_a_short_soak_of_real_processes_breaks_no_rule(tmp_path):
+def test_a_short_soak_breaks_no_rule(tmp_path):
     """Hosts that fail and leave around ends of the relay, pauses, a crowd, a failing machine: molehill/soak."""
-    plans = [drawn(seed, SOAKED_SPAN) for seed in SOAKED]
-    folders = [tmp_path / str(seed) for seed in SOAKED]
-    with ProcessPoolExecutor(SOAKED_AT_ONCE) as pool:
-        assert not [row for rows in pool.map(broken, plans, folders) for row in rows]
+    plans = [drawn(seed, SOAK_SECONDS) for seed in SOAK_SEEDS]
+    folders = [tmp_path / str(seed) for seed in SOAK_SEEDS]
+    with ProcessPoolExecutor(SOAK_PROCESSES) as pool:
+        assert not [row for rows in pool.map(rule_violations, plans, folders) for row in rows]
 
 
-def test_a_host_that_was_told_to_drain_gets_no_call_from_the_next_process(tmp_path):
+def test_a_draining_host_gets_no_call_after_a_restart(tmp_path):
     """The process is killed 2 s after it was told; discovery is down as the next one starts, and its file is old."""
     plan = Plan(1, span=7.0, clients=12)
     plan.drains = [Drain(1.0, 9.0, host) for host in HOSTS[::3]]
     plan.ends, plan.outages = [End(3.0, "SIGKILL")], [Outage(2.9, 3.0)]
-    assert not broken(plan, tmp_path)
+    assert not rule_violations(plan, tmp_path)
 
 
 class SlowDisk(Disk):
-    """Takes so long for each write that holds `what`, on a clock that is moved by hand."""
+    """Takes so long for each write that holds `pattern`, on a clock that is moved by hand."""
 
-    clock, span, what = None, 0, b'"k":"launch"'
+    clock, delay, pattern = None, 0, b'"k":"launch"'
 
     def write(self, fd, data):
-        if self.what in bytes(data):
-            self.clock.now += self.span
+        if self.pattern in bytes(data):
+            self.clock.now += self.delay
         return Disk.write(fd, data)
 
 
@@ -61,24 +61,28 @@
         self.disk.clock = clock
 
 
-@pytest.mark.parametrize("left, goes", [(80 * MS, True), (40 * MS, False)])
-def test_a_call_whose_time_ran_out_while_its_launch_was_logged_is_not_written(tmp_path, left, goes):
+@pytest.mark.parametrize("time_left, is_written", [(80 * MS, True), (40 * MS, False)])
+def test_a_call_that_expires_during_its_log_write_is_not_sent(tmp_path, time_left, is_written):
     place = Place(tmp_path, SlowMachine)
-    place.relay.store.disk.span = 60 * MS
+    place.relay.store.disk.delay = 60 * MS
     client = place.client()
-    client.send(ASK.replace(b"Content", b"Req-Deadline-Ms: %d\r\nContent" % (left // MS)) % b"id1")
+    client.send(
+        ASK.replace(b"Content", b"Req-Deadline-Ms: %d\r\nContent" % (time_left // MS)) % b"id1"
+    )
     place.hear(client, b"HTTP/1.1 202")
     host = place.accept(place.host)
     place.advance(SECOND)
     text = drain(host) or b""
-    assert (b"Req-Id: id1" in text) is goes
-    if goes:
+    assert (b"Req-Id: id1" in text) is is_written
+    if is_written:
         told = int(text.partition(b"Req-Deadline-Ms: ")[2].split(b"\r\n")[0])
-        assert told <= (left - 60 * MS) // MS, "what is left of its time as its first byte goes"
+        assert (
+            told <= (time_left - 60 * MS) // MS
+        ), "what is left of its time as its first byte goes"
     place.close()
 
 
-def test_a_notice_goes_well_behind_the_call_that_was_given_up_before_it_and_in_time(place):
+def test_a_notice_follows_its_timed_out_call_in_time(place):
     """Danger: they go by connections of their own, and nothing but time orders the two."""
     client = place.client()
     client.send(ASK.replace(b"Content", b"Req-Deadline-Ms: 30\r\nContent") % b"id1")
@@ -91,31 +95,35 @@
     assert 95 * MS <= place.clock.now - called <= 250 * MS
 
 
-def test_an_answer_that_comes_as_its_client_s_wait_is_over_takes_nothing_back(place):
+def test_an_answer_at_the_client_timeout_withdraws_nothing(place):
     """Danger: told 202 and withdrawn, a callback is lost."""
     clients, posted = place.relay.clients, []
     clients.post = posted.append
     client = place.client()
     client.send(ASK % b"id1")
     place.turn()
-    ((conn, _),) = clients.conns.items()
+    ((conn, _),) = clients.connections.items()
     # in the turn in which the wait is over, behind it
-    place.relay.scheduler.at(place.clock.now + SECOND, clients.answer, ev.Answer(conn, "id1", 202))
+    place.relay.scheduler.at(
+        place.clock.now + SECOND, clients.answer_request, ev.Answer(conn, "id1", 202)
+    )
     place.advance(2 * SECOND)
     assert b"HTTP/1.1 202" in drain(client)
     assert [type(event) for event in posted] == [ev.Submitted, ev.AnswerWritten]
 
 
-def test_a_disk_that_takes_its_time_for_each_write_makes_no_answer_and_no_end_late(tmp_path):
+def test_a_slow_disk_delays_no_answer_or_notice(tmp_path):
     """Danger: a write for each callback of a batch, 20 ms each, stops the loop for as long as clients wait."""
     place = Place(tmp_path, SlowMachine)
     disk = place.relay.store.disk
-    disk.what, disk.span = b"", 20 * MS
+    disk.pattern, disk.delay = b"", 20 * MS
     clients, platforms, told = [place.client() for _ in range(30)], [], b""
-    asked = ASK.replace(b"notice", b"plain").replace(b"Content", b"Req-Deadline-Ms: 500\r\nContent")
+    request = ASK.replace(b"notice", b"plain").replace(
+        b"Content", b"Req-Deadline-Ms: 500\r\nContent"
+    )
     began = place.clock.now
     for n, client in enumerate(clients):
-        client.send(asked % b"id%02d" % n)
+        client.send(request % b"id%02d" % n)
     place.turn()
     heard = [place.hear(client, b"HTTP/1.1 202") for client in clients]
     assert len(heard) == 30 and place.clock.now - began <= 400 * MS
@@ -126,83 +134,83 @@
     place.close()
 
 
-def asked_with(place, ident, span, kind=b"notice"):
+def send_accepted(place, callback_id, span, kind=b"notice"):
     """A client that has been told that its request, with that span of time, is taken on."""
     client = place.client()
     deadline = b"Req-Deadline-Ms: %d\r\nContent" % (span // MS)
-    client.send(ASK.replace(b"Content", deadline).replace(b"notice", kind) % ident)
+    client.send(ASK.replace(b"Content", deadline).replace(b"notice", kind) % callback_id)
     place.hear(client, b"HTTP/1.1 202")
     return client
 
 
-def advance_till_told(place, ident, until, platforms):
+def advance_to_notice(place, callback_id, until, platforms):
     """Moves the clock until the platform hears the notice of that id, or till then; whether it did."""
     heard = b""
     while place.clock.now < until:
         place.advance(5 * MS)
         heard += place.platform_hears(platforms)
-        if b'"ref":"%s"' % ident in heard:
+        if b'"ref":"%s"' % callback_id in heard:
             return True
     return False
 
 
-@pytest.mark.parametrize("ends_connection", [True, False])
-def test_no_notice_overtakes_a_call_that_its_host_has_not_read(place, ends_connection):
+@pytest.mark.parametrize("host_closes", [True, False])
+def test_no_notice_overtakes_an_unread_call(place, host_closes):
     """Danger: the host's system takes connection and call at once, and its process reads them later."""
-    asked_at = place.clock.now
-    asked_with(place, b"id1", 300 * MS)
-    due, platforms = asked_at + 300 * MS, []
-    assert not advance_till_told(place, b"id1", due + 145 * MS, platforms)
-    if ends_connection:
+    requested_at = place.clock.now
+    send_accepted(place, b"id1", 300 * MS)
+    due, platforms = requested_at + 300 * MS, []
+    assert not advance_to_notice(place, b"id1", due + 145 * MS, platforms)
+    if host_closes:
         host, read_at = place.accept(place.host), place.clock.now
         assert b"Req-Id: id1" in drain(host)
         host.close()
-        assert advance_till_told(place, b"id1", read_at + 20 * MS, platforms)
+        assert advance_to_notice(place, b"id1", read_at + 20 * MS, platforms)
     else:
-        assert advance_till_told(place, b"id1", due + 300 * MS, platforms), "in time all the same"
+        assert advance_to_notice(place, b"id1", due + 300 * MS, platforms), "in time all the same"
 
 
-def test_no_notice_overtakes_an_unread_call_behind_which_another_was_answered(place):
+def test_no_notice_overtakes_an_earlier_unread_call(place):
     """Danger: the last call ended by an answer, and an earlier one still lies in its host's system."""
-    asked_at = place.clock.now
-    asked_with(place, b"id1", 1400 * MS)
+    requested_at = place.clock.now
+    send_accepted(place, b"id1", 1400 * MS)
     place.accept(place.host)
     answered = place.accept(place.host)
     assert b"Req-Id: id1" in place.hear(answered, b"\r\n\r\nab")
     answered.send(b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
     platforms = []
-    assert not advance_till_told(place, b"id1", asked_at + 1490 * MS, platforms)
-    assert advance_till_told(place, b"id1", asked_at + 1700 * MS, platforms)
+    assert not advance_to_notice(place, b"id1", requested_at + 1490 * MS, platforms)
+    assert advance_to_notice(place, b"id1", requested_at + 1700 * MS, platforms)
 
 
-def test_no_notice_overtakes_an_unread_call_of_the_process_that_was_killed(place):
+def test_no_notice_overtakes_a_killed_process_s_unread_call(place):
     """Danger: only the log knows that a call was out, and the next process tells its end at once."""
-    asked_with(place, b"id1", 3000 * MS, b"plain")
+    send_accepted(place, b"id1", 3000 * MS, b"plain")
     host, platforms = place.accept(place.host), []
     called_at = place.clock.now
     assert b"Req-Id: id1" in drain(host)
     kill(place)
-    assert not advance_till_told(place, b"id1", called_at + 1400 * MS, platforms)
-    assert advance_till_told(place, b"id1", called_at + 1600 * MS, platforms)
+    assert not advance_to_notice(place, b"id1", called_at + 1400 * MS, platforms)
+    assert advance_to_notice(place, b"id1", called_at + 1600 * MS, platforms)
 
 
-def test_no_notice_follows_at_once_on_a_call_that_was_written_behind_its_time(place, monkeypatch):
+def test_no_notice_directly_follows_a_call_written_late(place, monkeypatch):
     """Danger: the process is held up between its last look at the clock and the write."""
     write = HttpStream.send
 
-    def held_up(stream, data, until):
+    def delayed_send(stream, data, until):
         if stream.kind == "host":
             place.clock.now += 150 * MS
         write(stream, data, until)
 
-    monkeypatch.setattr(HttpStream, "send", held_up)
-    asked_at = place.clock.now
-    asked_with(place, b"id1", 30 * MS)
+    monkeypatch.setattr(HttpStream, "send", delayed_send)
+    requested_at = place.clock.now
+    send_accepted(place, b"id1", 30 * MS)
     place.accept(place.host)
     written_at, platforms = place.clock.now, []
-    assert written_at >= asked_at + 150 * MS
-    assert not advance_till_told(place, b"id1", asked_at + 225 * MS, platforms)
-    assert advance_till_told(place, b"id1", asked_at + 300 * MS, platforms)
+    assert written_at >= requested_at + 150 * MS
+    assert not advance_to_notice(place, b"id1", requested_at + 225 * MS, platforms)
+    assert advance_to_notice(place, b"id1", requested_at + 300 * MS, platforms)
 
 
 @pytest.mark.parametrize(
@@ -215,7 +223,7 @@
         (None, True, 0),
     ],
 )
-def test_the_soak_fails_on_a_late_call_that_the_notice_did_not_wait_for(notice_at, given_up, found):
+def test_the_soak_reports_a_call_after_its_notice(notice_at, given_up, found):
     history = History()
     history.events = [
         Process(0.0, "ready"),
@@ -231,9 +239,7 @@
 @pytest.mark.parametrize(
     "killed, notice_at, found", [(True, 10.8, 0), (True, 10.6, 1), (False, 10.8, 1)]
 )
-def test_a_request_that_a_killed_process_took_on_is_not_judged_by_its_second_sending(
-    killed, notice_at, found
-):
+def test_a_killed_process_s_request_is_judged_by_its_first_sending(killed, notice_at, found):
     history = History()
     history.events = [Process(0.0, "ready"), HandedIn(10.0, "a", "idempotent", 0.65)]
     if killed:
@@ -252,7 +258,7 @@
 
 
 @pytest.mark.parametrize("late, void", [(0.9, True), (0.02, False), (None, False)])
-def test_an_end_that_came_while_the_rig_stood_still_is_not_found_late(late, void):
+def test_an_end_during_a_rig_stall_is_void(late, void):
     """Danger: both stand still at once, and the time that was missed lies before the moment in which the rig notices."""
     history = History()
     history.events = [HandedIn(8.0, "a", "idempotent", 0.1), Answered(8.01, "a", 202)]
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -112,13 +112,13 @@
     stepped.advance(SECOND, 50 * MS)
     stepped.wall[0] += step
     kill(stepped)
-    assert not stepped.relay.notices.waiting
+    assert not stepped.relay.notices.unanswered
     comes(stepped, stepped.host, b"Req-Id: id1")
     stepped.clock.now += 15 * SECOND  # it stands still until it is killed
     stepped.wall[0] += step
     kill(stepped)
     stepped.advance(100 * MS)
-    assert list(stepped.relay.notices.waiting) == ["id1"]
+    assert list(stepped.relay.notices.unanswered) == ["id1"]
 
 
 @pytest.mark.parametrize(
@@ -167,7 +167,7 @@
     client = place.client()
     client.send(ASK % b"id1")
     place.relay.clients.listener = Failing()
-    place.relay.clients.let_go()
+    place.relay.clients.stop_accepting()
     assert b"Connection: close" in place.hear(client, b"HTTP/1.1 202")
 
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -8,10 +8,10 @@
 from molehill.http import parser as http
 from molehill.runtime.buffer import Buffer
 
-STEADY = profile(derandomize=True, deadline=None, database=None)
+DETERMINISTIC = profile(derandomize=True, deadline=None, database=None)
 
 
-def feed(buffer, data):
+def fill_buffer(buffer, data):
     while data:
         with buffer.space() as space:
             count = min(len(space), len(data))
@@ -23,34 +23,39 @@
     return True
 
 
-def heads(data, cuts=(), answers=False):
+def parse_heads(data, cuts=(), reads_responses=False):
     """Heads found when the bytes come in pieces."""
     buffer = Buffer(100_000)
-    parser, found, at = http.Parser(buffer, answers), [], 0
+    parser, found, at = http.Parser(buffer, reads_responses), [], 0
     for cut in [*sorted(cuts), len(data)]:
-        feed(buffer, data[at:cut])
+        fill_buffer(buffer, data[at:cut])
         at = max(at, cut)
-        while (head := parser.head()) is not None:
+        while (head := parser.next_head()) is not None:
             found.append(head)
-            buffer.take(head.length or 0)
+            buffer.take(head.content_length or 0)
     return found
 
 
-WHOLE = (
+TWO_REQUESTS = (
     b"\r\nPOST /api HTTP/1.1\r\nReq-Id: 9b\r\nContent-Length: 0\r\nCookie: a=1; subject=k\r\n\r\n"
     b"GET /health/ready HTTP/1.0\r\nX: y\r\n\r\n"
 )
 
 
-@given(st.lists(st.integers(0, len(WHOLE)), max_size=8))
-@STEADY
-def test_a_head_reads_the_same_however_its_bytes_come(cuts):
-    first, second = heads(WHOLE, cuts)
-    assert first.first == ("POST", "/api", "HTTP/1.1") and first.keep and first.length == 0
+@given(st.lists(st.integers(0, len(TWO_REQUESTS)), max_size=8))
+@DETERMINISTIC
+def test_heads_parse_the_same_in_any_pieces(cuts):
+    first, second = parse_heads(TWO_REQUESTS, cuts)
     assert (
-        http.cookie(first.headers, "subject") == "k" and http.cookie(first.headers, "other") is None
+        first.start_line == ("POST", "/api", "HTTP/1.1")
+        and first.keep_alive
+        and first.content_length == 0
     )
-    assert not second.keep and second.length is None
+    assert (
+        http.cookie_value(first.headers, "subject") == "k"
+        and http.cookie_value(first.headers, "other") is None
+    )
+    assert not second.keep_alive and second.content_length is None
 
 
 @given(
@@ -80,14 +85,14 @@
     ),
     st.booleans(),
 )
-@STEADY
-def test_whatever_comes_is_read_or_malformed(data, answers):
+@DETERMINISTIC
+def test_arbitrary_bytes_raise_nothing_but_malformed(data, reads_responses):
     try:
-        for head in heads(data + b"\r\n\r\n", answers=answers):
-            assert head.length is None or 0 <= head.length <= http.BODY_MOST
-            assert not answers or 0 <= head.status <= 999
-    except http.Malformed as error:
-        assert error.status in http.REASONS
+        for head in parse_heads(data + b"\r\n\r\n", reads_responses=reads_responses):
+            assert head.content_length is None or 0 <= head.content_length <= http.MAX_BODY_BYTES
+            assert not reads_responses or 0 <= head.status <= 999
+    except http.MalformedMessage as error:
+        assert error.status in http.REASON_PHRASES
 
 
 @pytest.mark.parametrize(
@@ -106,51 +111,53 @@
         (b"POST /api HTTP/1.1\r\nContent-Length: 5\r\nContent-Length: 6", 400),
         (b"POST /api HTTP/1.1\r\nContent-Length: 65537", 413),
         (b"POST /api HTTP/1.1\r\nTransfer-Encoding: chunked", 501),
-        (b"X" * (http.HEAD_MOST + 1), 431),
+        (b"X" * (http.MAX_HEAD_BYTES + 1), 431),
     ],
 )
-def test_malformed_heads_are_told_by_status(lines, status):
-    with pytest.raises(http.Malformed) as caught:
-        heads(lines + b"\r\n\r\n")
+def test_each_malformed_head_has_its_status(lines, status):
+    with pytest.raises(http.MalformedMessage) as caught:
+        parse_heads(lines + b"\r\n\r\n")
     assert caught.value.status == status
 
 
-def test_a_head_without_an_end_is_cut_at_the_bound():
-    with pytest.raises(http.Malformed) as caught:
-        heads(b"GET / HTTP/1.1\r\n" + b"A: b\r\n" * http.HEAD_MOST)
+def test_an_endless_head_is_rejected_at_the_limit():
+    with pytest.raises(http.MalformedMessage) as caught:
+        parse_heads(b"GET / HTTP/1.1\r\n" + b"A: b\r\n" * http.MAX_HEAD_BYTES)
     assert caught.value.status == 431
 
 
-def test_what_is_written_is_read_back():
-    data = http.answer(202, [("Retry-After", "0.500")], b"body", close=True) + http.answer(204)
-    first, second = heads(data, answers=True)
-    assert (first.status, first.keep, first.length, first.headers["retry-after"]) == (
+def test_built_messages_parse_back():
+    data = http.build_response(
+        202, [("Retry-After", "0.500")], b"body", close=True
+    ) + http.build_response(204)
+    first, second = parse_heads(data, reads_responses=True)
+    assert (first.status, first.keep_alive, first.content_length, first.headers["retry-after"]) == (
         202,
         False,
         4,
         "0.500",
     )
-    assert second.status == 204 and second.keep
-    (head,) = heads(http.request("POST", "/events", "h:1", [("Req-Id", "x")], b"123"))
+    assert second.status == 204 and second.keep_alive
+    (head,) = parse_heads(http.build_request("POST", "/events", "h:1", [("Req-Id", "x")], b"123"))
     assert head.headers == {"host": "h:1", "req-id": "x", "content-length": "3"}
 
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(1, 9000)), max_size=40))
-@STEADY
-def test_a_buffer_gives_back_what_went_in_and_stays_within_its_bound(moves):
-    buffer, held, count = Buffer(20_000), b"", 0
-    for put, size in moves:
-        if put:
+@DETERMINISTIC
+def test_a_buffer_returns_its_bytes_within_its_limit(operations):
+    buffer, expected, count = Buffer(20_000), b"", 0
+    for is_write, size in operations:
+        if is_write:
             data = bytes((count + n) % 251 for n in range(size))
             count += size
-            if len(held) + size > 20_000:
+            if len(expected) + size > 20_000:
                 continue
-            assert feed(buffer, data)
-            held += data
+            assert fill_buffer(buffer, data)
+            expected += data
         else:
-            assert buffer.take(size) == held[:size]
-            held = held[size:]
-        assert buffer.peek(len(held)) == held and len(buffer.data) <= 20_000
-        if held:
-            assert buffer.find(held[-1:]) == held.find(held[-1:])
-    assert not feed(buffer, bytes(20_001))
+            assert buffer.take(size) == expected[:size]
+            expected = expected[size:]
+        assert buffer.peek(len(expected)) == expected and len(buffer.data) <= 20_000
+        if expected:
+            assert buffer.find(expected[-1:]) == expected.find(expected[-1:])
+    assert not fill_buffer(buffer, bytes(20_001))
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -10,13 +10,13 @@
 from molehill.core.metrics import Metrics
 from molehill.core.permission import Refusal
 from molehill.http import discovery, hosts, notices
-from molehill.http.clients import ROOM, Clients
+from molehill.http.clients import FOR_NEW_CONNECTION, Clients
 from molehill.runtime import stream as stream_module
 from molehill.runtime.scheduler import CUT, LATE, READ, READY
 from molehill.runtime.stream import Broken
 from tests.core_harness import MS, SECOND, NetHarness, Result, drain, net_config
 
-ASK = (
+REQUEST = (
     b"POST /api HTTP/1.1\r\nReq-Id: %s\r\nReq-Kind: notice\r\nCookie: subject=k1\r\nX-Consignee: dest=7\r\n"
     b"Req-Deadline-Ms: 480\r\nIdempotency-Key: m\r\nContent-Length: 3\r\n\r\nabc"
 )
@@ -25,7 +25,7 @@
 # The scheduler and the budget
 
 
-def test_waits_end_by_readiness_by_time_and_by_being_cut():
+def test_a_wait_ends_when_ready_late_or_cut():
     net, came = NetHarness(), []
     ours, theirs = socket.socketpair()
 
@@ -46,7 +46,7 @@
         sock.close()
 
 
-def test_a_task_that_fails_ends_alone_and_returns_to_the_loop(monkeypatch):
+def test_a_failing_task_ends_no_other_task(monkeypatch):
     net, done = NetHarness(), []
     monkeypatch.setattr(
         "molehill.runtime.scheduler.check_invariant",
@@ -65,7 +65,7 @@
     assert done == ["task", "parent"]
 
 
-def test_a_fault_of_the_loop_itself_does_not_end_it(monkeypatch):
+def test_an_error_in_the_loop_does_not_end_it(monkeypatch):
     net, broken = NetHarness(), []
     monkeypatch.setattr(
         "molehill.runtime.scheduler.check_invariant",
@@ -81,7 +81,7 @@
     assert broken == ["loop"] * 3
 
 
-def test_work_that_has_to_go_on_is_begun_anew(monkeypatch):
+def test_a_kept_task_restarts_after_an_error(monkeypatch):
     net, tries, broken = NetHarness(), [], []
     monkeypatch.setattr(
         "molehill.runtime.scheduler.check_invariant",
@@ -98,17 +98,17 @@
     assert len(tries) == 3 and broken == ["kept_task"] * 2
 
 
-def test_what_is_more_than_a_buffer_holds_closes_its_connection_and_not_the_process_that_takes_it_over():
+def test_refilling_beyond_the_buffer_closes_the_connection():
     net = NetHarness()
     stream, theirs = net.pair()
     stream.refill(b"x" * (stream.buffer.most + 1))
     assert not stream.open and net.budget.total() == 0 and drain(theirs) is None
 
 
-def test_a_full_budget_closes_idle_connections_those_to_hosts_first():
+def test_a_full_budget_closes_idle_host_connections_first():
     net, closed = NetHarness(sockets=3), []
 
-    def idler(kind):
+    def idle_closer(kind):
         def close():
             if net.budget.used.get(kind, 0):
                 closed.append(kind)
@@ -118,7 +118,7 @@
 
         return close
 
-    net.budget.idlers.update(client=idler("client"), host=idler("host"))
+    net.budget.idlers.update(client=idle_closer("client"), host=idle_closer("host"))
     assert net.budget.take("client") and net.budget.take("host") and net.budget.take("notices")
     assert net.budget.take("client") and closed == ["host"]
     assert net.budget.take("host") and closed == ["host", "client"] and net.budget.total() == 3
@@ -133,42 +133,42 @@
 # Clients
 
 
-class Door:
+class ClientsHarness:
     def __init__(self, **given):
         self.net = NetHarness()
         self.clients = Clients(
             self.net.scheduler, net_config(**given), self.net.budget, self.net.post
         )
-        self.clients.ready = True
+        self.clients.is_ready = True
 
     def connect(self):
         ours, theirs = socket.socketpair()
         theirs.setblocking(False)
         assert self.net.budget.take("client")
-        self.clients.open(ours)
+        self.clients.open_connection(ours)
         return theirs
 
-    def say(self, sock, data):
+    def exchange(self, sock, data):
         sock.send(data)
         self.net.settle()
         return drain(sock)
 
-    def answer(self, arrived, status=202, wait=0):
-        self.clients.answer(ev.Answer(arrived.client, arrived.submission.id, status, wait))
+    def answer_request(self, arrived, status=202, wait=0):
+        self.clients.answer_request(ev.Answer(arrived.client, arrived.submission.id, status, wait))
         self.net.settle()
 
 
-def test_a_request_is_handed_over_answered_and_only_then_heard():
-    door = Door()
-    sock = door.connect()
-    ask = ASK % b"id1"
+def test_a_request_counts_as_heard_only_once_answered():
+    harness = ClientsHarness()
+    sock = harness.connect()
+    request = REQUEST % b"id1"
     assert (
-        door.say(sock, ask[:50]) == b""
-        and door.say(sock, ask[50:-1]) == b""
-        and not door.net.events
+        harness.exchange(sock, request[:50]) == b""
+        and harness.exchange(sock, request[50:-1]) == b""
+        and not harness.net.events
     )
-    assert door.say(sock, ask[-1:]) == b""
-    (arrived,) = door.net.events
+    assert harness.exchange(sock, request[-1:]) == b""
+    (arrived,) = harness.net.events
     fresh = arrived.submission
     assert (
         fresh.id,
@@ -185,28 +185,28 @@
         "m",
         b"abc",
     )
-    assert fresh.deadline == door.net.clock() + 480 * MS
-    door.answer(arrived)
-    assert drain(sock).startswith(b"HTTP/1.1 202 ") and door.net.events[1:] == [
+    assert fresh.deadline == harness.net.clock() + 480 * MS
+    harness.answer_request(arrived)
+    assert drain(sock).startswith(b"HTTP/1.1 202 ") and harness.net.events[1:] == [
         ev.AnswerWritten("id1", arrived.client)
     ]
-    door.say(sock, ASK % b"id2")
-    door.answer(door.net.events[-1], 503, 1234 * MS)
+    harness.exchange(sock, REQUEST % b"id2")
+    harness.answer_request(harness.net.events[-1], 503, 1234 * MS)
     text = drain(sock)
     assert text.startswith(b"HTTP/1.1 503 ") and b"Retry-After: 1.234\r\n" in text
-    assert len(door.net.events) == 3, "nobody has to hear of a refusal"
+    assert len(harness.net.events) == 3, "nobody has to hear of a refusal"
 
 
 @pytest.mark.parametrize("leave", [socket.socket.close, lambda sock: sock.shutdown(socket.SHUT_WR)])
-def test_a_client_gone_before_its_answer_is_told_to_the_core(leave):
-    door = Door()
-    sock = door.connect()
-    door.say(sock, ASK % b"id1")
+def test_a_client_gone_before_its_answer_is_reported(leave):
+    harness = ClientsHarness()
+    sock = harness.connect()
+    harness.exchange(sock, REQUEST % b"id1")
     # the second as TCP shows it: its end has come, yet bytes still go
     leave(sock)
-    door.answer(door.net.events[0])
-    assert type(door.net.events[1]) is ev.AnswerNotWritten and not door.clients.conns
-    assert door.net.budget.total() == 0
+    harness.answer_request(harness.net.events[0])
+    assert type(harness.net.events[1]) is ev.AnswerNotWritten and not harness.clients.connections
+    assert harness.net.budget.total() == 0
 
 
 @pytest.mark.parametrize(
@@ -228,283 +228,296 @@
         (b" HTTP/1.1", b"", 400),
     ],
 )
-def test_what_can_t_be_taken_on_is_answered_and_never_handed_over(before, after, status):
-    door = Door()
-    sock = door.connect()
-    text = door.say(sock, (ASK % b"id1").replace(before, after))
-    assert text.startswith(b"HTTP/1.1 %d " % status) and not door.net.events
+def test_an_invalid_request_is_answered_and_never_posted(before, after, status):
+    harness = ClientsHarness()
+    sock = harness.connect()
+    text = harness.exchange(sock, (REQUEST % b"id1").replace(before, after))
+    assert text.startswith(b"HTTP/1.1 %d " % status) and not harness.net.events
     if status not in (404, 405):
         sock.close()
-        door.net.settle()
-        assert not door.clients.conns
-
-
-def test_health_tells_readiness_and_nothing_is_taken_on_before_it():
-    door = Door()
-    door.clients.ready = False
-    sock = door.connect()
-    assert door.say(sock, b"GET /health/ready HTTP/1.1\r\n\r\n").startswith(b"HTTP/1.1 503")
-    assert door.say(sock, ASK % b"id1").startswith(b"HTTP/1.1 503") and not door.net.events
-    door.clients.ready = True
-    assert door.say(sock, b"GET /health/ready HTTP/1.1\r\n\r\n").startswith(b"HTTP/1.1 200")
-
-
-def test_when_the_relay_ends_idle_connections_are_closed_and_kept_ones_let_go_with_the_answer():
-    door = Door()
-    sock, idle, silent, partly = [door.connect() for _ in range(4)]
-    door.say(sock, ASK % b"id1")
-    door.say(partly, (ASK % b"id2")[:-1])
-    door.clients.closing = True
-    idle.send(ASK % b"id3")  # lies there unread
-    door.clients.close_idle()
-    door.net.settle()
-    assert drain(silent) is None and len(door.clients.conns) == 3
-    for event in [event for event in door.net.events if type(event) is ev.Submitted]:
-        door.answer(event)
+        harness.net.settle()
+        assert not harness.clients.connections
+
+
+def test_nothing_is_accepted_before_the_relay_is_ready():
+    harness = ClientsHarness()
+    harness.clients.is_ready = False
+    sock = harness.connect()
+    assert harness.exchange(sock, b"GET /health/ready HTTP/1.1\r\n\r\n").startswith(b"HTTP/1.1 503")
+    assert (
+        harness.exchange(sock, REQUEST % b"id1").startswith(b"HTTP/1.1 503")
+        and not harness.net.events
+    )
+    harness.clients.is_ready = True
+    assert harness.exchange(sock, b"GET /health/ready HTTP/1.1\r\n\r\n").startswith(b"HTTP/1.1 200")
+
+
+def test_shutdown_closes_idle_connections_and_answers_open_requests():
+    harness = ClientsHarness()
+    sock, idle, silent, partly = [harness.connect() for _ in range(4)]
+    harness.exchange(sock, REQUEST % b"id1")
+    harness.exchange(partly, (REQUEST % b"id2")[:-1])
+    harness.clients.is_closing = True
+    idle.send(REQUEST % b"id3")  # lies there unread
+    harness.clients.close_idle_connections()
+    harness.net.settle()
+    assert drain(silent) is None and len(harness.clients.connections) == 3
+    for event in [event for event in harness.net.events if type(event) is ev.Submitted]:
+        harness.answer_request(event)
     for asked in (sock, idle):
         assert b"Connection: close" in drain(asked) and drain(asked) is None
     assert (
-        len(door.clients.conns) == 3 and not door.clients.calm()
+        len(harness.clients.connections) == 3 and not harness.clients.is_quiescent()
     ), "till they are gone too, what they still send is read away"
     sock.close(), idle.close()
     partly.send(b"b")
-    door.clients.close_unfinished()
-    door.net.settle()
-    assert not door.clients.conns and [
-        e.submission.id for e in door.net.events if type(e) is ev.Submitted
+    harness.clients.close_unfinished()
+    harness.net.settle()
+    assert not harness.clients.connections and [
+        e.submission.id for e in harness.net.events if type(e) is ev.Submitted
     ] == ["id1", "id3"]
 
 
-def test_a_request_that_never_gets_whole_is_given_up():
-    door = Door()
-    sock = door.connect()
-    assert door.say(sock, (ASK % b"id1")[:-1]) == b""
-    door.net.advance(1100 * MS)
+def test_an_incomplete_request_times_out():
+    harness = ClientsHarness()
+    sock = harness.connect()
+    assert harness.exchange(sock, (REQUEST % b"id1")[:-1]) == b""
+    harness.net.advance(1100 * MS)
     assert drain(sock).startswith(b"HTTP/1.1 408 ")
-    door.net.advance(300 * MS)
-    assert drain(sock) is None and not door.net.events and door.net.budget.total() == 0
+    harness.net.advance(300 * MS)
+    assert drain(sock) is None and not harness.net.events and harness.net.budget.total() == 0
 
 
-def test_time_runs_on_for_what_came_in_while_the_relay_stood_still():
+def test_a_stall_counts_against_requests_received_during_it():
     """Danger: counted from when it is read, its end would come too late; a busy loop looks again at once."""
-    door = Door()
-    sock = door.connect()
-    door.net.settle()
-    for stood, counted in ((0, 0), (300 * MS, 300 * MS), (5 * SECOND, 400 * MS)):
-        sock.send(ASK % b"id%d" % stood)
-        door.net.clock.now += stood
-        door.net.settle()
-        arrived = door.net.events[-1]
-        assert arrived.submission.deadline == door.net.clock() - counted + 480 * MS
-        door.answer(arrived)
+    harness = ClientsHarness()
+    sock = harness.connect()
+    harness.net.settle()
+    for stall_time, counted in ((0, 0), (300 * MS, 300 * MS), (5 * SECOND, 400 * MS)):
+        sock.send(REQUEST % b"id%d" % stall_time)
+        harness.net.clock.now += stall_time
+        harness.net.settle()
+        arrived = harness.net.events[-1]
+        assert arrived.submission.deadline == harness.net.clock() - counted + 480 * MS
+        harness.answer_request(arrived)
         drain(sock)
-    assert door.net.scheduler.most_stood == 5 * SECOND, "the worst is kept for whoever tells it"
+    assert harness.net.scheduler.most_stood == 5 * SECOND, "the worst is kept for whoever tells it"
 
 
 @pytest.mark.parametrize("kept", [True, False])
-def test_a_request_read_late_in_a_long_turn_is_not_counted_as_just_sent(kept):
+def test_a_long_turn_counts_against_a_request_read_late(kept):
     """Danger: the turn in which it is read stands still after its look at the descriptors."""
-    door = Door(listen="127.0.0.1:1")
-    door.clients.config.listen = ("127.0.0.1", 0)
-    door.clients.listen()
-    address = door.clients.listener.getsockname()
-    door.net.settle()
-    sock = door.connect() if kept else socket.create_connection(address)
+    harness = ClientsHarness(listen="127.0.0.1:1")
+    harness.clients.config.listen = ("127.0.0.1", 0)
+    harness.clients.listen()
+    address = harness.clients.listener.getsockname()
+    harness.net.settle()
+    sock = harness.connect() if kept else socket.create_connection(address)
     if kept:
-        door.net.settle()
-    sock.send(ASK % b"id1")
+        harness.net.settle()
+    sock.send(REQUEST % b"id1")
 
-    def stand(again):
-        door.net.clock.now += 150 * MS
+    def stall(again):
+        harness.net.clock.now += 150 * MS
         if again:
-            door.net.scheduler.spawn(stand, False)
+            harness.net.scheduler.spawn(stall, False)
 
-    door.net.scheduler.spawn(stand, not kept)
-    sent = door.net.clock()
-    door.net.settle()
-    assert door.net.events[-1].submission.deadline == sent + 480 * MS
+    harness.net.scheduler.spawn(stall, not kept)
+    sent = harness.net.clock()
+    harness.net.settle()
+    assert harness.net.events[-1].submission.deadline == sent + 480 * MS
 
 
-def test_a_request_sent_late_in_a_long_turn_is_not_counted_as_sent_at_its_begin():
+def test_a_long_turn_does_not_shorten_a_request_sent_late():
     """Danger: it would be ended before its time."""
-    door, sent = Door(), []
-    sock = door.connect()
-    door.net.settle()
+    harness, sent = ClientsHarness(), []
+    sock = harness.connect()
+    harness.net.settle()
 
     def work(sends):
         if sends:
-            sock.send(ASK % b"id1")
-            sent.append(door.net.clock())
-        door.net.clock.now += 30 * MS
+            sock.send(REQUEST % b"id1")
+            sent.append(harness.net.clock())
+        harness.net.clock.now += 30 * MS
 
     for turn in range(6):
-        door.net.scheduler.spawn(work, turn == 3)
-    door.net.settle()
-    due = door.net.events[-1].submission.deadline
+        harness.net.scheduler.spawn(work, turn == 3)
+    harness.net.settle()
+    due = harness.net.events[-1].submission.deadline
     assert sent[0] + 450 * MS <= due <= sent[0] + 480 * MS
 
 
-def test_what_is_read_right_after_a_start_may_have_waited_as_long_as_any_client_waits():
-    door = Door()
-    door.clients.begin()
-    sock = door.connect()
+def test_requests_after_a_start_count_the_longest_client_wait():
+    harness = ClientsHarness()
+    harness.clients.start_serving()
+    sock = harness.connect()
     # later ones of a connection too
     for since, counted in ((0, 400 * MS), (900 * MS, 400 * MS), (200 * MS, 0)):
-        door.net.advance(since)
-        door.say(sock, ASK % b"id%d" % since)
-        assert door.net.events[-1].submission.deadline == door.net.clock() - counted + 480 * MS
-        door.answer(door.net.events[-1])
+        harness.net.advance(since)
+        harness.exchange(sock, REQUEST % b"id%d" % since)
+        assert (
+            harness.net.events[-1].submission.deadline == harness.net.clock() - counted + 480 * MS
+        )
+        harness.answer_request(harness.net.events[-1])
         drain(sock)
 
 
-def test_time_runs_on_for_a_first_request_whose_connection_waits_to_be_accepted():
-    door = Door(listen="127.0.0.1:1")
-    door.clients.config.listen = ("127.0.0.1", 0)
-    door.clients.listen()
-    door.net.settle()
-    door.net.clock.now += 5 * SECOND  # nobody came: that is no wait
-    door.net.settle()
-    door.net.budget.most = 1  # no descriptor is to spare
-    late = socket.create_connection(door.clients.listener.getsockname())
+def test_the_wait_for_accept_counts_against_the_first_request():
+    harness = ClientsHarness(listen="127.0.0.1:1")
+    harness.clients.config.listen = ("127.0.0.1", 0)
+    harness.clients.listen()
+    harness.net.settle()
+    harness.net.clock.now += 5 * SECOND  # nobody came: that is no wait
+    harness.net.settle()
+    harness.net.budget.most = 1  # no descriptor is to spare
+    late = socket.create_connection(harness.clients.listener.getsockname())
     late.setblocking(False)
-    late.send(ASK % b"late")
-    came = door.net.clock()
-    door.net.settle()
-    door.net.advance(200 * MS, step=5 * MS)
-    assert not door.net.events
-    door.net.budget.most = 50
-    door.net.advance(50 * MS, step=5 * MS)
-    assert came + 480 * MS <= door.net.events[-1].submission.deadline + 5 * MS <= came + 500 * MS
-    door.answer(door.net.events[-1])
-    door.net.settle()
+    late.send(REQUEST % b"late")
+    came = harness.net.clock()
+    harness.net.settle()
+    harness.net.advance(200 * MS, step=5 * MS)
+    assert not harness.net.events
+    harness.net.budget.most = 50
+    harness.net.advance(50 * MS, step=5 * MS)
+    assert came + 480 * MS <= harness.net.events[-1].submission.deadline + 5 * MS <= came + 500 * MS
+    harness.answer_request(harness.net.events[-1])
+    harness.net.settle()
     drain(late)
-    door.say(late, ASK % b"next")
+    harness.exchange(late, REQUEST % b"next")
     assert (
-        door.net.events[-1].submission.deadline == door.net.clock() + 480 * MS
+        harness.net.events[-1].submission.deadline == harness.net.clock() + 480 * MS
     ), "only its first request waited"
     late.close()
-    door.clients.listener.close()
+    harness.clients.listener.close()
 
 
-def test_a_request_that_the_core_does_not_answer_is_given_back():
-    door = Door()
-    sock = door.connect()
-    door.say(sock, ASK % b"id1")
-    door.net.advance(1100 * MS)
-    assert type(door.net.events[1]) is ev.AnswerNotWritten
+def test_an_unanswered_request_is_withdrawn_with_503():
+    harness = ClientsHarness()
+    sock = harness.connect()
+    harness.exchange(sock, REQUEST % b"id1")
+    harness.net.advance(1100 * MS)
+    assert type(harness.net.events[1]) is ev.AnswerNotWritten
     assert drain(sock).startswith(
         b"HTTP/1.1 503 "
     ), "withdrawn, it has surely not run; closed unanswered, it is lost"
 
 
-def test_the_connection_idle_longest_makes_room_and_one_that_may_carry_a_request_never_does():
-    door = Door()
-    busy, first, second, crossed = [door.connect() for _ in range(4)]
+def test_the_longest_idle_connection_closes_but_none_with_a_request():
+    harness = ClientsHarness()
+    busy, first, second, crossed = [harness.connect() for _ in range(4)]
     for sock in (busy, second, first, crossed):
-        door.say(sock, b"GET /health/live HTTP/1.1\r\n\r\n")
-        door.net.clock.now += 200 * MS
-    assert not door.clients.close_idlest(ROOM), "none has stood long"
-    door.net.clock.now += SECOND
-    fresh = door.connect()
-    door.say(busy, ASK % b"id1")
-    crossed.send(ASK % b"id2")  # came, and not read yet
-    assert door.clients.close_idlest(ROOM) and drain(second) is None and drain(first) == b""
-    assert door.clients.close_idlest(ROOM) and drain(first) is None
-    assert not door.clients.close_idlest(ROOM)
-    door.net.settle()
-    for event in list(door.net.events):
-        door.answer(event)
+        harness.exchange(sock, b"GET /health/live HTTP/1.1\r\n\r\n")
+        harness.net.clock.now += 200 * MS
+    assert not harness.clients.close_longest_idle(FOR_NEW_CONNECTION), "none has stood long"
+    harness.net.clock.now += SECOND
+    fresh = harness.connect()
+    harness.exchange(busy, REQUEST % b"id1")
+    crossed.send(REQUEST % b"id2")  # came, and not read yet
+    assert (
+        harness.clients.close_longest_idle(FOR_NEW_CONNECTION)
+        and drain(second) is None
+        and drain(first) == b""
+    )
+    assert harness.clients.close_longest_idle(FOR_NEW_CONNECTION) and drain(first) is None
+    assert not harness.clients.close_longest_idle(FOR_NEW_CONNECTION)
+    harness.net.settle()
+    for event in list(harness.net.events):
+        harness.answer_request(event)
     assert drain(busy).startswith(b"HTTP/1.1 202") and drain(crossed).startswith(b"HTTP/1.1 202")
     assert drain(fresh) == b"", "its first request may be on its way"
 
 
-LIVE = b"GET /health/live HTTP/1.1\r\n\r\n"
+HEALTH_REQUEST = b"GET /health/live HTTP/1.1\r\n\r\n"
 
 
 @pytest.mark.parametrize("sockets", [256, 384, 1024])
-def test_a_crowd_that_asks_once_and_stays_never_fills_the_clients_allowance(sockets):
-    door = Door(limits={"sockets": sockets})
-    bound = door.clients.config.client_idle
+def test_one_request_connections_never_exhaust_the_idle_limit(sockets):
+    harness = ClientsHarness(limits={"sockets": sockets})
+    bound = harness.clients.config.client_idle
     assert (
         16 <= bound <= sockets // 3 // 2
     ), "at least half of what clients may hold is for what is under way"
-    door.net.budget.most = sockets
-    pool, crowd = [door.connect() for _ in range(8)], []
+    harness.net.budget.most = sockets
+    pool, crowd = [harness.connect() for _ in range(8)], []
     for sock in pool + pool:
-        door.say(sock, LIVE)
+        harness.exchange(sock, HEALTH_REQUEST)
     # 200 a second: each asks once, and keeps its connection for good
     for n in range(4 * bound):
-        for sock in [door.connect()] + ([pool[n // 4 % 8]] if n % 4 == 0 else []):
-            text = door.say(sock, LIVE)
+        for sock in [harness.connect()] + ([pool[n // 4 % 8]] if n % 4 == 0 else []):
+            text = harness.exchange(sock, HEALTH_REQUEST)
             assert text.startswith(b"HTTP/1.1 200 ")
             if sock in pool:
                 assert b"close" not in text, "one that is asked on stays open"
             else:
                 crowd.append(sock)
-        door.net.clock.now += 5 * MS
-        assert len(door.clients.conns) <= bound
+        harness.net.clock.now += 5 * MS
+        assert len(harness.clients.connections) <= bound
     assert (
         all(drain(sock) == b"" for sock in pool)
-        and door.clients.counts["closed: idle, room for others"] > bound
+        and harness.clients.counts["closed: idle, room for others"] > bound
     )
     for sock in (*crowd, *pool):
         sock.close()
-    door.net.settle()
-    assert not door.clients.conns and not any(
-        door.clients.idle.values()
+    harness.net.settle()
+    assert not harness.clients.connections and not any(
+        harness.clients.idle_connections.values()
     ), "every map drops its rows"
 
 
-def test_where_none_can_go_a_first_answer_ends_its_connection_and_none_is_cut_that_is_in_use():
-    door = Door(limits={"sockets": 128})
-    bound = door.clients.config.client_idle
-    door.net.budget.most = 128
-    pool = [door.connect() for _ in range(bound)]
+def test_at_the_idle_limit_a_first_answer_closes_its_connection():
+    harness = ClientsHarness(limits={"sockets": 128})
+    bound = harness.clients.config.client_idle
+    harness.net.budget.most = 128
+    pool = [harness.connect() for _ in range(bound)]
     for sock in pool + pool:
-        assert b"close" not in door.say(sock, LIVE)
-    late = door.connect()
-    assert b"Connection: close" in door.say(late, LIVE) and drain(late) is None
-    door.net.clock.now += SECOND  # all may go now, but for the one that has a request open
-    door.say(pool[0], ASK % b"id1")
-    assert b"close" not in door.say(pool[1], LIVE)
-    fresh = [door.connect(), door.connect()]
-    assert all(b"close" not in door.say(sock, LIVE) for sock in fresh), "another made room"
+        assert b"close" not in harness.exchange(sock, HEALTH_REQUEST)
+    late = harness.connect()
+    assert b"Connection: close" in harness.exchange(late, HEALTH_REQUEST) and drain(late) is None
+    harness.net.clock.now += SECOND  # all may go now, but for the one that has a request open
+    harness.exchange(pool[0], REQUEST % b"id1")
+    assert b"close" not in harness.exchange(pool[1], HEALTH_REQUEST)
+    fresh = [harness.connect(), harness.connect()]
+    assert all(
+        b"close" not in harness.exchange(sock, HEALTH_REQUEST) for sock in fresh
+    ), "another made room"
     assert sum(drain(sock) is None for sock in pool[2:]) == 1 and drain(pool[0]) == b""
-    door.answer(door.net.events[0])
+    harness.answer_request(harness.net.events[0])
     assert drain(pool[0]).startswith(b"HTTP/1.1 202 ")
 
 
-def test_a_silent_crowd_makes_room_before_idle_hosts_and_before_those_that_were_served():
-    door = Door()
-    served, silent = door.connect(), [door.connect() for _ in range(3)]
-    door.say(served, b"GET /health/live HTTP/1.1\r\n\r\n")
+def test_silent_connections_close_before_idle_hosts_and_served_clients():
+    harness = ClientsHarness()
+    served, silent = harness.connect(), [harness.connect() for _ in range(3)]
+    harness.exchange(served, b"GET /health/live HTTP/1.1\r\n\r\n")
     hosts_closed = []
-    door.net.budget.idlers["host"] = lambda: hosts_closed.append(1)
-    door.net.budget.most = 4
-    door.net.advance(100 * MS)
-    assert not door.net.budget.take("client"), "their first request may be on its way"
-    door.net.advance(100 * MS)
+    harness.net.budget.idlers["host"] = lambda: hosts_closed.append(1)
+    harness.net.budget.most = 4
+    harness.net.advance(100 * MS)
+    assert not harness.net.budget.take("client"), "their first request may be on its way"
+    harness.net.advance(100 * MS)
     hosts_closed.clear()
-    assert door.net.budget.take("client") and drain(silent[0]) is None and not hosts_closed
-    door.net.budget.quotas["client"] = 4
+    assert harness.net.budget.take("client") and drain(silent[0]) is None and not hosts_closed
+    harness.net.budget.quotas["client"] = 4
     assert (
-        door.net.budget.take("client")
+        harness.net.budget.take("client")
         and drain(silent[1]) is None
         and drain(served) == b""
         and not hosts_closed
     )
-    door.net.advance(2 * SECOND)
+    harness.net.advance(2 * SECOND)
     assert drain(silent[2]) is None, "owed an end within three seconds of connecting, crowd or not"
     assert (
-        drain(served) == b"" and door.net.budget.take("client") and door.net.budget.take("client")
+        drain(served) == b""
+        and harness.net.budget.take("client")
+        and harness.net.budget.take("client")
     )
     assert drain(served) is None, "two seconds idle: nobody needs it"
 
 
-def test_a_body_that_goes_on_and_requests_in_a_row_don_t_hold_up_the_others():
-    door, other = Door(), None
-    sock = door.connect()
-    sock.send(ASK.replace(b"Content-Length: 3", b"Content-Length: 60000000") % b"id1")
+def test_endless_bodies_and_pipelined_requests_block_no_others():
+    harness, other = ClientsHarness(), None
+    sock = harness.connect()
+    sock.send(REQUEST.replace(b"Content-Length: 3", b"Content-Length: 60000000") % b"id1")
     turns = 0
     while sock.fileno() >= 0 and turns < 200:
         turns += 1
@@ -514,61 +527,61 @@
             pass
         except OSError:
             break
-        door.net.scheduler.turn(block=False)
+        harness.net.scheduler.turn(block=False)
     assert (
-        turns < 200 and not door.net.events and not door.clients.conns
+        turns < 200 and not harness.net.events and not harness.clients.connections
     ), "an error or a close, and not at the end"
-    sock, other = door.connect(), door.connect()
+    sock, other = harness.connect(), harness.connect()
     sock.send(b"GET /nothing HTTP/1.1\r\n\r\n" * 100)
     other.send(b"GET /health/live HTTP/1.1\r\n\r\n")
     for _ in range(5):
-        door.net.scheduler.turn(block=False)
+        harness.net.scheduler.turn(block=False)
     assert drain(other).startswith(b"HTTP/1.1 200") and 0 < drain(sock).count(b"404") < 10
 
 
-def test_a_length_beside_a_transfer_encoding_passes_nothing_on_of_what_follows():
-    door = Door()
-    sock = door.connect()
-    hidden = b"0\r\n\r\n" + ASK % b"hidden"
-    text = door.say(
+def test_a_length_with_a_transfer_encoding_smuggles_no_request():
+    harness = ClientsHarness()
+    sock = harness.connect()
+    hidden = b"0\r\n\r\n" + REQUEST % b"hidden"
+    text = harness.exchange(
         sock,
-        (ASK % b"id1").replace(
+        (REQUEST % b"id1").replace(
             b"Content-Length: 3", b"Content-Length: 5\r\nTransfer-Encoding: chunked"
         )[:-3]
         + hidden,
     )
     assert text.startswith(b"HTTP/1.1 400 ")
-    door.net.advance(300 * MS)
-    assert not door.net.events and not door.clients.conns
+    harness.net.advance(300 * MS)
+    assert not harness.net.events and not harness.clients.connections
 
 
-def test_while_descriptors_are_short_answers_end_their_connections():
-    door = Door()
-    sock = door.connect()
-    door.clients.short = True
-    door.say(sock, ASK % b"id1")
-    door.answer(door.net.events[0])
+def test_answers_close_connections_while_descriptors_are_short():
+    harness = ClientsHarness()
+    sock = harness.connect()
+    harness.clients.lacks_descriptors = True
+    harness.exchange(sock, REQUEST % b"id1")
+    harness.answer_request(harness.net.events[0])
     assert b"Connection: close" in drain(sock) and drain(sock) is None
-    door.net.advance(250 * MS)
-    assert door.net.budget.total() == 0, "whether or not the client closes too"
+    harness.net.advance(250 * MS)
+    assert harness.net.budget.total() == 0, "whether or not the client closes too"
 
 
 # Calls to hosts
 
 
-class Calls:
+class HostsHarness:
     def __init__(self, monkeypatch):
-        self.net, self.refused = NetHarness(), None
-        self.made, self.refusals = self.net.intercept_connections(monkeypatch)
+        self.net, self.refusal = NetHarness(), None
+        self.peers, self.connect_errors = self.net.intercept_connections(monkeypatch)
         self.hosts = hosts.Hosts(
             self.net.scheduler,
             net_config(),
             self.net.budget,
             self.post,
-            lambda *_: self.refused,
+            lambda *_: self.refusal,
             Metrics(()),
         )
-        self.serial, self.on_begun = 0, lambda call: None
+        self.last_number, self.on_begun = 0, lambda call: None
 
     def post(self, event):
         if type(event) is ev.CallConnected:
@@ -582,11 +595,11 @@
         )
 
     def call(self, *ids, bundle=False, span=2 * SECOND, host="h1"):
-        self.serial += 1
+        self.last_number += 1
         until = self.net.clock() + span
-        self.hosts.call(
+        self.hosts.start_call(
             ev.Call(
-                self.serial,
+                self.last_number,
                 host,
                 ("127.0.0.1", 9),
                 bundle,
@@ -596,7 +609,7 @@
         self.net.settle()
 
     def reply(self, data, sock=None, close=False):
-        sock = sock or self.made[-1]
+        sock = sock or self.peers[-1]
         sock.send(data)
         if close:
             sock.close()
@@ -604,7 +617,7 @@
         return self.net.events[-1] if self.net.events else None
 
 
-def answered(status, *headers, body=b""):
+def response(status, *headers, body=b""):
     return (
         b"\r\n".join(
             [b"HTTP/1.1 %d X" % status, *headers, b"Content-Length: %d" % len(body), b"", b""]
@@ -613,68 +626,66 @@
     )
 
 
-def test_a_call_carries_id_key_body_and_how_long_it_waits(monkeypatch):
-    calls = Calls(monkeypatch)
-    calls.call("a")
-    assert drain(calls.made[0]) == (
+def test_a_call_carries_id_key_body_and_deadline(monkeypatch):
+    harness = HostsHarness(monkeypatch)
+    harness.call("a")
+    assert drain(harness.peers[0]) == (
         b"POST /events HTTP/1.1\r\nHost: 127.0.0.1:9\r\nReq-Id: a\r\nReq-Deadline-Ms: 2000\r\n"
         b"Idempotency-Key: m-a\r\nContent-Length: 2\r\n\r\naa"
     )
 
 
 @pytest.mark.parametrize("logged", [True, False])
-def test_a_call_is_logged_once_its_connection_is_up_and_before_its_first_byte_which_else_does_not_go(
-    monkeypatch, logged
-):
+def test_a_call_is_logged_between_connect_and_first_byte(monkeypatch, logged):
     """Danger: logged before, what still connects as the process is killed counts as run; logged after, what ran counts as untried."""
-    calls, seen = Calls(monkeypatch), []
+    harness, seen = HostsHarness(monkeypatch), []
 
     def begun(call):
-        seen.append((call, len(calls.made), drain(calls.made[-1])))
+        seen.append((call, len(harness.peers), drain(harness.peers[-1])))
         if not logged:
-            calls.hosts.abort(call)  # as the core has it where the log takes nothing
+            harness.hosts.abort_call(call)  # as the core has it where the log takes nothing
 
-    calls.on_begun = begun
-    calls.refusals.append(Broken("refused"))
-    calls.call()
-    assert not seen and [e.outcomes[0].result for e in calls.net.events] == [Result.NO_CONNECT]
-    calls.call()
-    assert seen == [(2, 1, b"")] and bool(drain(calls.made[-1])) is logged
-    assert len(calls.net.events) == 1 and calls.net.budget.total() == logged
+    harness.on_begun = begun
+    harness.connect_errors.append(Broken("refused"))
+    harness.call()
+    assert not seen and [e.outcomes[0].result for e in harness.net.events] == [Result.NO_CONNECT]
+    harness.call()
+    assert seen == [(2, 1, b"")] and bool(drain(harness.peers[-1])) is logged
+    assert len(harness.net.events) == 1 and harness.net.budget.total() == logged
 
 
-def test_a_connection_that_comes_up_as_the_call_s_time_ends_carries_nothing(monkeypatch):
+def test_a_connection_up_at_the_call_deadline_carries_nothing(monkeypatch):
     """Danger: both are found in one turn, and the callback is sent on after its end."""
-    calls = Calls(monkeypatch)
+    harness = HostsHarness(monkeypatch)
     opened = stream_module.opened
 
     def late(*given, **more):
         made = opened(*given, **more)
-        calls.net.clock.now += 2 * SECOND
+        harness.net.clock.now += 2 * SECOND
         return made
 
     monkeypatch.setattr("molehill.runtime.stream.opened", late)
-    calls.call(span=2 * SECOND)
-    assert [(e.outcomes[0].result, e.outcomes[0].unsent) for e in calls.net.events] == [
+    harness.call(span=2 * SECOND)
+    assert [(e.outcomes[0].result, e.outcomes[0].unsent) for e in harness.net.events] == [
         (Result.NOT_SENT, True)
     ]
-    assert drain(calls.made[0]) is None and calls.net.budget.total() == 0
+    assert drain(harness.peers[0]) is None and harness.net.budget.total() == 0
 
 
 @pytest.mark.parametrize(
     "reply,expected",
     [
-        (answered(200, b"Srv-Load: x0=0.4,x1=25"), (Result.DELIVERED, 0, True, False, 25.0, 0.4)),
-        (answered(500), (Result.ERROR, 0, False, False, 0.0)),
-        (answered(429, b"Retry-After: 1.25"), (Result.REFUSED, 1250 * MS, False, False, 0.0)),
-        (answered(503, b"Retry-After: 2"), (Result.REFUSED, 2 * SECOND, False, False, 0.0)),
-        (answered(503, b"Retry-After: soon"), (Result.REFUSED, 0, False, False, 0.0)),
-        (answered(503, b"X-Line-Busy: 1"), (Result.NOT_SENT, 0, False, False, 0.0)),
-        (answered(504), (Result.NOT_SENT, 0, False, True, 0.0)),
-        (answered(410), (Result.NOT_SENT, 0, True, False, 0.0)),
-        (answered(413), (Result.REFUSED, 0, False, False, 0.0)),
-        (answered(302), (Result.ERROR, 0, False, False, 0.0)),
-        (b"HTTP/1.1 100 Continue\r\n\r\n" + answered(200), (Result.DELIVERED, 0, True, False, 0.0)),
+        (response(200, b"Srv-Load: x0=0.4,x1=25"), (Result.DELIVERED, 0, True, False, 25.0, 0.4)),
+        (response(500), (Result.ERROR, 0, False, False, 0.0)),
+        (response(429, b"Retry-After: 1.25"), (Result.REFUSED, 1250 * MS, False, False, 0.0)),
+        (response(503, b"Retry-After: 2"), (Result.REFUSED, 2 * SECOND, False, False, 0.0)),
+        (response(503, b"Retry-After: soon"), (Result.REFUSED, 0, False, False, 0.0)),
+        (response(503, b"X-Line-Busy: 1"), (Result.NOT_SENT, 0, False, False, 0.0)),
+        (response(504), (Result.NOT_SENT, 0, False, True, 0.0)),
+        (response(410), (Result.NOT_SENT, 0, True, False, 0.0)),
+        (response(413), (Result.REFUSED, 0, False, False, 0.0)),
+        (response(302), (Result.ERROR, 0, False, False, 0.0)),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + response(200), (Result.DELIVERED, 0, True, False, 0.0)),
         (
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x\r\nabc\r\n0\r\nA: b\r\n\r\n",
             (Result.DELIVERED, 0, True, False, 0.0),
@@ -695,11 +706,11 @@
             b"HTTP/1.1 410 Gone\r\nContent-Length: 3000000000\r\n\r\n",
             (Result.RESET, 0, False, False, 0.0),
         ),
-        (b"HTTP/1.1 100 Go\r\n\r\n" * 17 + answered(503), (Result.RESET, 0, False, False, 0.0)),
+        (b"HTTP/1.1 100 Go\r\n\r\n" * 17 + response(503), (Result.RESET, 0, False, False, 0.0)),
         (b"ICY 200 OK\r\nContent-Length: 0\r\n\r\n", (Result.RESET, 0, False, False, 0.0)),
-        (answered(200, b"Srv-Load: x0=??,x1=25"), (Result.DELIVERED, 0, True, False, 0.0)),
-        (answered(200, b"Srv-Load: x0=0.5,x1=2_5"), (Result.DELIVERED, 0, True, False, 0.0)),
-        (answered(200, b"Srv-Load: x1=-25"), (Result.DELIVERED, 0, True, False, 0.0)),
+        (response(200, b"Srv-Load: x0=??,x1=25"), (Result.DELIVERED, 0, True, False, 0.0)),
+        (response(200, b"Srv-Load: x0=0.5,x1=2_5"), (Result.DELIVERED, 0, True, False, 0.0)),
+        (response(200, b"Srv-Load: x1=-25"), (Result.DELIVERED, 0, True, False, 0.0)),
         (
             b"HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n",
             (Result.DELIVERED, 0, True, False, 0.0),
@@ -709,10 +720,10 @@
         (b"gibberish\r\n\r\n", (Result.RESET, 0, False, False, 0.0)),
     ],
 )
-def test_each_answer_is_the_outcome_that_the_protocol_names(monkeypatch, reply, expected):
-    calls = Calls(monkeypatch)
-    calls.call()
-    event = calls.reply(reply)
+def test_each_answer_has_the_outcome_the_protocol_names(monkeypatch, reply, expected):
+    harness = HostsHarness(monkeypatch)
+    harness.call()
+    event = harness.reply(reply)
     (end,) = event.outcomes
     assert (
         end.result,
@@ -725,8 +736,8 @@
         *expected,
         None,
     )[:6]
-    calls.net.advance(1100 * MS)
-    assert len(calls.net.events) == 1 and calls.hosts.out == 0
+    harness.net.advance(1100 * MS)
+    assert len(harness.net.events) == 1 and harness.hosts.calls_in_flight == 0
 
 
 @pytest.mark.parametrize(
@@ -739,56 +750,54 @@
         (504, Result.RESET),
     ],
 )
-@pytest.mark.parametrize("cut", [True, False])
-def test_half_an_answer_proves_nothing_but_a_200_and_the_launch_is_out_till_its_end(
-    monkeypatch, status, result, cut
+@pytest.mark.parametrize("connection_breaks", [True, False])
+def test_half_an_answer_proves_delivery_only_for_200(
+    monkeypatch, status, result, connection_breaks
 ):
-    calls = Calls(monkeypatch)
-    calls.call()
-    assert calls.reply(answered(status, body=b"whole")[:-1]) is None, "the host still holds it"
-    if cut:
-        calls.made[0].close()
-        calls.net.settle()
+    harness = HostsHarness(monkeypatch)
+    harness.call()
+    assert harness.reply(response(status, body=b"whole")[:-1]) is None, "the host still holds it"
+    if connection_breaks:
+        harness.peers[0].close()
+        harness.net.settle()
     # a wait that ends: at once where that changes nothing, else with the call's time
     else:
-        calls.net.advance(300 * MS)
-        assert bool(calls.net.events) == (status in (200, 500))
-        calls.net.advance(1800 * MS)
+        harness.net.advance(300 * MS)
+        assert bool(harness.net.events) == (status in (200, 500))
+        harness.net.advance(1800 * MS)
         result = Result.TIMEOUT if result is Result.RESET else result
-    assert [e.outcomes[0].result for e in calls.net.events] == [result]
-    assert not calls.hosts.idle and calls.net.budget.total() == 0
+    assert [e.outcomes[0].result for e in harness.net.events] == [result]
+    assert not harness.hosts.idle_connections and harness.net.budget.total() == 0
 
 
-def test_a_connection_with_more_than_its_answer_is_not_used_again_however_late_it_comes(
+def test_a_connection_with_extra_bytes_is_not_reused(
     monkeypatch,
 ):
-    calls = Calls(monkeypatch)
-    calls.call("a")
-    calls.reply(answered(200) + b"noise")
-    calls.call("b")
-    assert len(calls.made) == 2
-    calls.reply(answered(200))
-    calls.made[1].send(answered(200))
-    calls.call("c")
-    assert len(calls.made) == 3 and len(calls.net.events) == 2
-    calls.reply(answered(200))
-    (stream,) = calls.hosts.idle["h1"]
+    harness = HostsHarness(monkeypatch)
+    harness.call("a")
+    harness.reply(response(200) + b"noise")
+    harness.call("b")
+    assert len(harness.peers) == 2
+    harness.reply(response(200))
+    harness.peers[1].send(response(200))
+    harness.call("c")
+    assert len(harness.peers) == 3 and len(harness.net.events) == 2
+    harness.reply(response(200))
+    (stream,) = harness.hosts.idle_connections["h1"]
     send = stream.send
-    stream.send = lambda data, until: (send(data, until), calls.made[2].send(answered(200)))
-    calls.call("d")  # a copy that crosses the next request is no answer to it
-    assert [e.outcomes[0].result for e in calls.net.events[3:]] == [
+    stream.send = lambda data, until: (send(data, until), harness.peers[2].send(response(200)))
+    harness.call("d")  # a copy that crosses the next request is no answer to it
+    assert [e.outcomes[0].result for e in harness.net.events[3:]] == [
         Result.RESET
     ] and not stream.open
 
 
 @pytest.mark.parametrize("span", [SECOND, 2 * SECOND])
-def test_a_connection_that_never_comes_up_is_the_host_s_failure_also_within_a_short_time_out(
-    monkeypatch, span
-):
-    calls = Calls(monkeypatch)
-    calls.refusals.append(hosts.Late())
-    calls.call(span=span)
-    assert [(e.outcomes[0].result, e.outcomes[0].unsent) for e in calls.net.events] == [
+def test_a_connect_timeout_is_the_host_s_failure(monkeypatch, span):
+    harness = HostsHarness(monkeypatch)
+    harness.connect_errors.append(hosts.Late())
+    harness.call(span=span)
+    assert [(e.outcomes[0].result, e.outcomes[0].unsent) for e in harness.net.events] == [
         (Result.NO_CONNECT, False)
     ]
 
@@ -802,82 +811,80 @@
         (b"HTTP/1.1 500 X\r\n", Result.RESET),
     ],
 )
-def test_a_connection_that_breaks_after_the_last_byte_is_a_reset_unless_200_was_written(
-    monkeypatch, sent, result
-):
-    calls = Calls(monkeypatch)
-    calls.call()
-    event = calls.reply(sent, close=True)
-    assert [end.result for end in event.outcomes] == [result] and calls.net.budget.total() == 0
-
-
-def test_silence_is_a_timeout_and_the_connection_is_closed_not_used_again(monkeypatch):
-    calls = Calls(monkeypatch)
-    calls.call(span=SECOND)
-    calls.net.advance(1050 * MS)
-    (event,) = calls.net.events
+def test_a_connection_broken_after_sending_is_a_reset(monkeypatch, sent, result):
+    harness = HostsHarness(monkeypatch)
+    harness.call()
+    event = harness.reply(sent, close=True)
+    assert [end.result for end in event.outcomes] == [result] and harness.net.budget.total() == 0
+
+
+def test_a_silent_host_times_out_and_loses_the_connection(monkeypatch):
+    harness = HostsHarness(monkeypatch)
+    harness.call(span=SECOND)
+    harness.net.advance(1050 * MS)
+    (event,) = harness.net.events
     assert event.outcomes[0].result is Result.TIMEOUT and event.duration >= SECOND
-    assert drain(calls.made[0]) and drain(calls.made[0]) is None and not calls.hosts.idle
+    assert (
+        drain(harness.peers[0])
+        and drain(harness.peers[0]) is None
+        and not harness.hosts.idle_connections
+    )
 
 
-def test_calls_that_hosts_leave_open_keep_no_more_connections_than_slots_and_not_for_long(
+def test_timed_out_calls_keep_few_connections_and_briefly(
     monkeypatch,
 ):
-    calls = Calls(monkeypatch)
-    slots = calls.hosts.given_up.most
+    harness = HostsHarness(monkeypatch)
+    slots = harness.hosts.timed_out_calls.max_streams
     for _ in range(slots + 5):
-        calls.call(span=20 * MS)
-    calls.net.advance(30 * MS, step=5 * MS)
-    assert len(calls.hosts.given_up.streams) == calls.net.budget.total() == slots
-    calls.net.advance(2 * SECOND)
-    assert calls.net.budget.total() == 0
-    done = [event for event in calls.net.events if type(event) is ev.HostFinishedReading]
+        harness.call(span=20 * MS)
+    harness.net.advance(30 * MS, step=5 * MS)
+    assert len(harness.hosts.timed_out_calls.streams) == harness.net.budget.total() == slots
+    harness.net.advance(2 * SECOND)
+    assert harness.net.budget.total() == 0
+    done = [event for event in harness.net.events if type(event) is ev.HostFinishedReading]
     assert len(done) == slots + 5 and not any(event.confirmed for event in done)
 
 
-@pytest.mark.parametrize("ends", [answered(200), b""])
-def test_a_host_that_ends_a_given_up_call_is_told_and_its_late_answer_is_no_delivery(
-    monkeypatch, ends
-):
-    calls = Calls(monkeypatch)
-    calls.call(span=100 * MS)
-    calls.net.advance(150 * MS, step=10 * MS)
-    calls.reply(ends, close=not ends)
-    (given_up, done) = calls.net.events
-    assert [end.result for end in given_up.outcomes] == [Result.TIMEOUT]
+@pytest.mark.parametrize("ends", [response(200), b""])
+def test_a_late_end_of_a_timed_out_call_is_no_delivery(monkeypatch, ends):
+    harness = HostsHarness(monkeypatch)
+    harness.call(span=100 * MS)
+    harness.net.advance(150 * MS, step=10 * MS)
+    harness.reply(ends, close=not ends)
+    (timed_out, done) = harness.net.events
+    assert [end.result for end in timed_out.outcomes] == [Result.TIMEOUT]
     assert (type(done), done.call, done.confirmed) == (ev.HostFinishedReading, 1, True)
-    assert calls.net.budget.total() == 0 and not calls.hosts.idle
+    assert harness.net.budget.total() == 0 and not harness.hosts.idle_connections
 
 
 @pytest.mark.parametrize("bundle", [False, True])
 @pytest.mark.parametrize(
-    "stood,result", [(900 * MS, Result.DELIVERED), (1100 * MS, Result.CANCELLED)]
+    "stall_time,result", [(900 * MS, Result.DELIVERED), (1100 * MS, Result.CANCELLED)]
 )
-def test_an_answer_that_is_read_after_the_time_that_was_told_is_no_delivery(
-    monkeypatch, bundle, stood, result
-):
+def test_an_answer_read_after_the_deadline_is_no_delivery(monkeypatch, bundle, stall_time, result):
     """Danger: while this relay stood still the host gave the call up, and what it wrote then stands for nothing: taken for a
     delivery, the callback never gets its end. It tells nothing of the host either: no time-out of its."""
-    calls = Calls(monkeypatch)
-    calls.call("a", "b", bundle=True, span=SECOND) if bundle else calls.call(span=SECOND)
-    assert b"Req-Deadline-Ms: 1000\r\n" in drain(calls.made[0])
-    calls.made[0].send(answered(200, body=b"a delivered\r\nb delivered\r\n"))
-    calls.net.clock.now += stood  # no round between the answer and the end of the wait
-    calls.net.settle()
-    (event,) = calls.net.events
+    harness = HostsHarness(monkeypatch)
+    harness.call("a", "b", bundle=True, span=SECOND) if bundle else harness.call(span=SECOND)
+    assert b"Req-Deadline-Ms: 1000\r\n" in drain(harness.peers[0])
+    harness.peers[0].send(response(200, body=b"a delivered\r\nb delivered\r\n"))
+    harness.net.clock.now += stall_time  # no round between the answer and the end of the wait
+    harness.net.settle()
+    (event,) = harness.net.events
     assert {end.result for end in event.outcomes} == {result}
-    assert bool(calls.hosts.idle) == (
+    assert bool(harness.hosts.idle_connections) == (
         result is Result.DELIVERED
     ), "the connection is of no further use"
 
 
-def stands_after(calls, send):
+def send_then_stall(harness, send):
     """This relay stands still right after a call's last byte, and finds its answer there when it goes on."""
 
     def sends(data, until):
         send(data, until)
-        calls.made[0].send(answered(200))
-        calls.net.clock.now += 700 * MS
+        harness.peers[0].send(response(200))
+        harness.net.clock.now += 700 * MS
 
     return sends
 
@@ -885,21 +892,19 @@
 @pytest.mark.parametrize(
     "span,result", [(SECOND // 2, Result.CANCELLED), (SECOND, Result.DELIVERED)]
 )
-def test_an_answer_that_came_while_the_relay_stood_still_right_after_its_call_counts(
-    monkeypatch, span, result
-):
+def test_an_answer_received_during_a_stall_counts(monkeypatch, span, result):
     """Danger: taken for more than the last answer, a callback that was delivered is called again; unless its time is up."""
-    calls = Calls(monkeypatch)
-    calls.call()
-    calls.reply(answered(200))
-    (stream,) = calls.hosts.idle["h1"]
-    stream.send = stands_after(calls, stream.send)
-    calls.call(span=span)
-    calls.net.settle()
-    assert [event.outcomes[0].result for event in calls.net.events] == [
+    harness = HostsHarness(monkeypatch)
+    harness.call()
+    harness.reply(response(200))
+    (stream,) = harness.hosts.idle_connections["h1"]
+    stream.send = send_then_stall(harness, stream.send)
+    harness.call(span=span)
+    harness.net.settle()
+    assert [event.outcomes[0].result for event in harness.net.events] == [
         Result.DELIVERED,
         result,
-    ] and len(calls.made) == 1
+    ] and len(harness.peers) == 1
 
 
 @pytest.mark.parametrize(
@@ -910,108 +915,115 @@
         (hosts.Short("EMFILE"), Result.NOT_SENT),
     ],
 )
-def test_no_connection_is_no_connect_unless_it_is_this_relay_that_is_short(
-    monkeypatch, refusal, result
-):
-    calls = Calls(monkeypatch)
-    calls.refusals.append(refusal)
-    calls.call()
-    assert [e.outcomes[0].result for e in calls.net.events] == [result] and calls.hosts.out == 0
-
-
-def test_a_kept_connection_carries_the_next_call_and_one_that_ended_is_replaced(monkeypatch):
-    calls = Calls(monkeypatch)
-    calls.call()
-    calls.reply(answered(200))
-    calls.call()
-    assert len(calls.made) == 1
-    calls.reply(answered(200))
-    calls.made[0].close()
-    calls.call()
+def test_a_failed_connect_is_not_sent_when_descriptors_are_short(monkeypatch, refusal, result):
+    harness = HostsHarness(monkeypatch)
+    harness.connect_errors.append(refusal)
+    harness.call()
+    assert [e.outcomes[0].result for e in harness.net.events] == [
+        result
+    ] and harness.hosts.calls_in_flight == 0
+
+
+def test_an_idle_connection_is_reused_and_an_ended_one_replaced(monkeypatch):
+    harness = HostsHarness(monkeypatch)
+    harness.call()
+    harness.reply(response(200))
+    harness.call()
+    assert len(harness.peers) == 1
+    harness.reply(response(200))
+    harness.peers[0].close()
+    harness.call()
     assert (
-        len(calls.made) == 2 and calls.reply(answered(200)).outcomes[0].result is Result.DELIVERED
+        len(harness.peers) == 2
+        and harness.reply(response(200)).outcomes[0].result is Result.DELIVERED
     )
-    assert len(calls.net.events) == 3 and calls.net.budget.total() == 1
+    assert len(harness.net.events) == 3 and harness.net.budget.total() == 1
 
 
-def test_a_kept_connection_that_breaks_before_the_last_byte_costs_no_launch(monkeypatch):
-    calls = Calls(monkeypatch)
-    calls.call()
-    calls.reply(answered(200))
-    (stream,) = calls.hosts.idle["h1"]
+def test_an_idle_connection_that_breaks_costs_no_attempt(monkeypatch):
+    harness = HostsHarness(monkeypatch)
+    harness.call()
+    harness.reply(response(200))
+    (stream,) = harness.hosts.idle_connections["h1"]
 
     def breaks(data, until):
         raise Broken("ECONNRESET")
 
     stream.send = breaks
-    calls.call()
+    harness.call()
     assert (
-        len(calls.made) == 2 and calls.reply(answered(200)).outcomes[0].result is Result.DELIVERED
+        len(harness.peers) == 2
+        and harness.reply(response(200)).outcomes[0].result is Result.DELIVERED
     )
-    (kept,) = calls.hosts.idle["h1"]
-    calls.net.clock.now += 9001 * MS
-    assert calls.hosts.idle.take("h1") is None and not kept.open, "too long idle"
+    (kept,) = harness.hosts.idle_connections["h1"]
+    harness.net.clock.now += 9001 * MS
+    assert harness.hosts.idle_connections.take("h1") is None and not kept.open, "too long idle"
 
 
-def test_idle_connections_are_closed_before_the_host_would_and_when_asked(monkeypatch):
-    calls = Calls(monkeypatch)
+def test_idle_connections_close_in_time_and_on_request(monkeypatch):
+    harness = HostsHarness(monkeypatch)
     for host in ("h1", "h2"):
-        calls.call(host=host)
-        calls.reply(answered(200))
-    calls.hosts.close_idle("h1")
-    assert calls.net.budget.total() == 1 and drain(calls.made[0]) and drain(calls.made[0]) is None
-    calls.net.advance(8900 * MS)
-    assert calls.net.budget.total() == 1
-    calls.net.advance(300 * MS)
-    assert calls.net.budget.total() == 0 and not calls.hosts.idle
-    calls.call()
-    calls.reply(answered(200, b"Connection: close"))
-    assert not calls.hosts.idle and calls.net.budget.total() == 0
-
-
-def test_nothing_is_written_once_a_wait_or_a_drain_was_told_while_connecting(monkeypatch):
-    calls = Calls(monkeypatch)
-    calls.call()
-    calls.reply(answered(200))
-    calls.refused = Refusal.HOST_NOT_UP
-    calls.call()
+        harness.call(host=host)
+        harness.reply(response(200))
+    harness.hosts.close_idle_connections("h1")
     assert (
-        calls.net.events[1].outcomes[0].result is Result.NOT_SENT
-        and len(calls.hosts.idle["h1"]) == 1
+        harness.net.budget.total() == 1
+        and drain(harness.peers[0])
+        and drain(harness.peers[0]) is None
+    )
+    harness.net.advance(8900 * MS)
+    assert harness.net.budget.total() == 1
+    harness.net.advance(300 * MS)
+    assert harness.net.budget.total() == 0 and not harness.hosts.idle_connections
+    harness.call()
+    harness.reply(response(200, b"Connection: close"))
+    assert not harness.hosts.idle_connections and harness.net.budget.total() == 0
+
+
+def test_a_refusal_during_connect_writes_nothing(monkeypatch):
+    harness = HostsHarness(monkeypatch)
+    harness.call()
+    harness.reply(response(200))
+    harness.refusal = Refusal.HOST_NOT_UP
+    harness.call()
+    assert (
+        harness.net.events[1].outcomes[0].result is Result.NOT_SENT
+        and len(harness.hosts.idle_connections["h1"]) == 1
     )
 
-    def told_while_connecting():
+    def refuse_once_connected():
         # the connection is up, and the wait came before it
-        calls.refused = Refusal.TOLD_TO_WAIT if calls.made else None
-        return calls.refused
+        harness.refusal = Refusal.TOLD_TO_WAIT if harness.peers else None
+        return harness.refusal
 
-    calls.made.clear()
-    calls.hosts.close_idle("h1")
-    calls.hosts.refusal = lambda *_: told_while_connecting()
-    calls.call()
+    harness.peers.clear()
+    harness.hosts.close_idle_connections("h1")
+    harness.hosts.refusal = lambda *_: refuse_once_connected()
+    harness.call()
     assert (
-        calls.net.events[2].outcomes[0].result is Result.NOT_SENT and drain(calls.made[0]) is None
+        harness.net.events[2].outcomes[0].result is Result.NOT_SENT
+        and drain(harness.peers[0]) is None
     )
-    assert calls.net.budget.total() == 0
+    assert harness.net.budget.total() == 0
 
 
-def test_an_aborted_call_is_closed_and_nothing_more_is_told_of_it(monkeypatch):
-    calls = Calls(monkeypatch)
-    calls.call()
-    calls.hosts.abort(1)
-    calls.net.settle()
-    assert not calls.net.events and calls.net.budget.total() == 0 and not calls.hosts.aborted
+def test_an_aborted_call_closes_and_reports_nothing(monkeypatch):
+    harness = HostsHarness(monkeypatch)
+    harness.call()
+    harness.hosts.abort_call(1)
+    harness.net.settle()
+    assert not harness.net.events and harness.net.budget.total() == 0 and not harness.hosts.aborted
 
 
-def test_a_call_of_several_has_an_end_for_each(monkeypatch):
-    calls = Calls(monkeypatch)
-    calls.call("a", "b", "c", "d", "e", "f", bundle=True)
-    assert drain(calls.made[0]).endswith(
+def test_a_bundle_has_an_end_for_each_callback(monkeypatch):
+    harness = HostsHarness(monkeypatch)
+    harness.call("a", "b", "c", "d", "e", "f", bundle=True)
+    assert drain(harness.peers[0]).endswith(
         b"\r\n\r\na m-a 2\r\naa\r\nb m-b 2\r\nbb\r\nc m-c 2\r\ncc\r\n"
         b"d m-d 2\r\ndd\r\ne m-e 2\r\nee\r\nf m-f 2\r\nff\r\n"
     )
     body = b"a delivered\r\nb failed\r\nc refused\r\nd over\r\ne spent\r\n"
-    event = calls.reply(answered(200, b"Retry-After: 0.5", body=body))
+    event = harness.reply(response(200, b"Retry-After: 0.5", body=body))
     assert [
         (e.id, e.result, e.retry_after, e.completed, e.attempts_exhausted) for e in event.outcomes
     ] == [
@@ -1024,40 +1036,40 @@
     ]
 
 
-def test_a_host_with_no_room_for_another_connection_is_told_from_one_that_is_full(monkeypatch):
+def test_a_host_out_of_connections_is_not_taken_for_full(monkeypatch):
     """Danger: taken for a used-up limit, relays that hold idle connections go on holding them, and others find no room."""
-    calls = Calls(monkeypatch)
+    harness = HostsHarness(monkeypatch)
     for headers, result in (
         (b"Connection: close", Result.NO_CONNECT),
         (b"X: y", Result.REFUSED),
         (b"Connection: close", Result.REFUSED),
     ):
         # the third goes on the second's connection, which has been let in
-        calls.call()
-        assert [end.result for end in calls.reply(answered(503, headers)).outcomes] == [result]
-    assert len(calls.made) == 2
+        harness.call()
+        assert [end.result for end in harness.reply(response(503, headers)).outcomes] == [result]
+    assert len(harness.peers) == 2
 
 
 @pytest.mark.parametrize(
     "sent,result",
     [
-        (answered(429, b"Retry-After: 1"), Result.REFUSED),
-        (answered(413), Result.REFUSED),
-        (answered(500), Result.ERROR),
-        (answered(200, body=b"a delivered\r\n")[:-4], Result.RESET),
+        (response(429, b"Retry-After: 1"), Result.REFUSED),
+        (response(413), Result.REFUSED),
+        (response(500), Result.ERROR),
+        (response(200, body=b"a delivered\r\n")[:-4], Result.RESET),
     ],
 )
-def test_a_call_of_several_that_fares_alike_or_whose_answer_is_not_whole(monkeypatch, sent, result):
-    calls = Calls(monkeypatch)
-    calls.call("a", "b", bundle=True)
-    assert [e.result for e in calls.reply(sent, close=True).outcomes] == [result] * 2
+def test_a_bundle_with_one_status_or_half_an_answer(monkeypatch, sent, result):
+    harness = HostsHarness(monkeypatch)
+    harness.call("a", "b", bundle=True)
+    assert [e.result for e in harness.reply(sent, close=True).outcomes] == [result] * 2
 
 
-def test_a_call_of_several_is_given_up_once_the_time_of_one_is_up(monkeypatch):
+def test_a_bundle_times_out_at_its_earliest_deadline(monkeypatch):
     """Danger: what the host writes from then on is no delivery for the others either, however whole it is."""
-    calls = Calls(monkeypatch)
-    now = calls.net.clock()
-    calls.hosts.call(
+    harness = HostsHarness(monkeypatch)
+    now = harness.net.clock()
+    harness.hosts.start_call(
         ev.Call(
             1,
             "h1",
@@ -1069,16 +1081,16 @@
             ],
         )
     )
-    calls.net.settle()
-    assert b"Req-Deadline-Ms: 1000\r\n" in drain(calls.made[0]), "the host hears when that is"
-    calls.made[0].send(answered(200, body=b"a delivered\r\nb delivered\r\n")[:-4])
-    calls.net.advance(1100 * MS)
-    (event,) = calls.net.events
+    harness.net.settle()
+    assert b"Req-Deadline-Ms: 1000\r\n" in drain(harness.peers[0]), "the host hears when that is"
+    harness.peers[0].send(response(200, body=b"a delivered\r\nb delivered\r\n")[:-4])
+    harness.net.advance(1100 * MS)
+    (event,) = harness.net.events
     assert [(e.id, e.result) for e in event.outcomes] == [
         (i, Result.TIMEOUT) for i in "ab"
     ] and event.duration >= SECOND
     assert (
-        calls.hosts.out == 0 and drain(calls.made[0]) is None
+        harness.hosts.calls_in_flight == 0 and drain(harness.peers[0]) is None
     ), "closed, so that the host knows too"
 
 
@@ -1099,56 +1111,58 @@
     }
 
 
-class Watch:
+class DiscoveryHarness:
     def __init__(self, monkeypatch, known=None):
         self.net = NetHarness()
-        self.made, self.refusals = self.net.intercept_connections(monkeypatch)
+        self.peers, self.connect_errors = self.net.intercept_connections(monkeypatch)
         self.discovery = discovery.Discovery(
             self.net.scheduler, net_config(known=known or {}), self.net.budget, self.net.post
         )
-        self.discovery.begin()
+        self.discovery.restore_list()
 
-    def watch(self):
-        self.discovery.watch()
+    def start_watch(self):
+        self.discovery.start_watch()
         self.net.settle()
-        return drain(self.made[-1])
+        return drain(self.peers[-1])
 
-    def tell(self, index, *rows, whole=False, status=200):
+    def reply_list(self, index, *rows, whole=False, status=200):
         body = json.dumps({"index": index, "snapshot": whole, "endpoints": rows}).encode()
-        self.made[-1].send(answered(status, body=body))
+        self.peers[-1].send(response(status, body=body))
         self.net.settle()
 
 
-def test_the_list_starts_as_known_and_each_watch_follows_the_last_at_once(monkeypatch):
-    watch = Watch(monkeypatch, {"index": 41, "snapshot": True, "endpoints": [entry()]})
-    assert watch.net.events[0].scope is interface.ListScope.RESTORED
-    assert watch.net.events[0].hosts == [
+def test_watches_follow_each_other_from_the_known_list(monkeypatch):
+    harness = DiscoveryHarness(monkeypatch, {"index": 41, "snapshot": True, "endpoints": [entry()]})
+    assert harness.net.events[0].scope is interface.ListScope.RESTORED
+    assert harness.net.events[0].hosts == [
         ev.Host("h1", ("10.1.0.18", 8081), 0, 0, 3, interface.Condition.UP, 1.0, "a", "m")
     ]
     # the first asks for what there is now; the others wait for news
-    assert watch.watch().startswith(b"GET /registry/instances?from=41&hold_ms=1 HTTP/1.1\r\n")
-    watch.discovery.watch()
-    watch.tell(43, entry(status="leaving"), entry("h2", status="left"))
+    assert harness.start_watch().startswith(
+        b"GET /registry/instances?from=41&hold_ms=1 HTTP/1.1\r\n"
+    )
+    harness.discovery.start_watch()
+    harness.reply_list(43, entry(status="leaving"), entry("h2", status="left"))
     assert (
-        drain(watch.made[0]).startswith(b"GET /registry/instances?from=43&hold_ms=10000 ")
-        and len(watch.made) == 1
+        drain(harness.peers[0]).startswith(b"GET /registry/instances?from=43&hold_ms=10000 ")
+        and len(harness.peers) == 1
     )
-    event = watch.net.events[1]
+    event = harness.net.events[1]
     assert event.scope is interface.ListScope.UPDATE
     assert [h.condition for h in event.hosts] == [
         interface.Condition.DRAINING,
         interface.Condition.GONE,
     ]
-    watch.tell(44, entry(), whole=True)
-    assert watch.net.events[2].scope is interface.ListScope.WHOLE
+    harness.reply_list(44, entry(), whole=True)
+    assert harness.net.events[2].scope is interface.ListScope.WHOLE
 
 
 @pytest.mark.parametrize("indent", [None, 4])
 @pytest.mark.parametrize("chunked", [False, True])
-def test_a_list_of_a_thousand_hosts_is_taken_whole_and_in_changes(monkeypatch, indent, chunked):
+def test_a_list_of_a_thousand_hosts_is_read(monkeypatch, indent, chunked):
     """Danger: bounded as a callback's body, a list of some hundreds of hosts is never read, and calls go to hosts of yesterday."""
-    watch = Watch(monkeypatch)
-    watch.watch()
+    harness = DiscoveryHarness(monkeypatch)
+    harness.start_watch()
     for turn, status in enumerate(("active", "leaving", "active")):
         rows = [
             entry(
@@ -1164,236 +1178,239 @@
             head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
             data = (
                 head
-                + b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in cut(data, 60000))
+                + b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in split_bytes(data, 60000))
                 + b"0\r\n\r\n"
             )
         else:
-            data = answered(200, body=data)
-        for part in cut(data, 30000):
-            watch.made[-1].sendall(part)
-            watch.net.settle()
-        assert len(watch.net.events[-1].hosts) == 1024 and len(watch.made) == 1
-        assert {h.condition for h in watch.net.events[-1].hosts} == {discovery.CONDITIONS[status]}
-    assert len(watch.net.events) == 4
-
-
-def cut(data, size):
+            data = response(200, body=data)
+        for part in split_bytes(data, 30000):
+            harness.peers[-1].sendall(part)
+            harness.net.settle()
+        assert len(harness.net.events[-1].hosts) == 1024 and len(harness.peers) == 1
+        assert {h.condition for h in harness.net.events[-1].hosts} == {
+            discovery.CONDITION_BY_STATUS[status]
+        }
+    assert len(harness.net.events) == 4
+
+
+def split_bytes(data, size):
     return [data[at : at + size] for at in range(0, len(data), size)]
 
 
-def test_an_entry_that_can_t_be_read_does_not_take_the_others_with_it(monkeypatch):
-    odd = []
+def test_an_invalid_list_entry_spoils_no_other(monkeypatch):
+    reported = []
     monkeypatch.setattr(
-        discovery, "check_invariant", lambda condition, name, **facts: odd.append(name)
+        discovery, "check_invariant", lambda condition, name, **facts: reported.append(name)
     )
-    watch = Watch(monkeypatch)
-    watch.watch()
-    watch.tell(
+    harness = DiscoveryHarness(monkeypatch)
+    harness.start_watch()
+    harness.reply_list(
         1,
         entry(address="nowhere"),
         {"name": "h9"},
         "text",
         entry("h2", status="odd", type="new", zone="z"),
     )
-    (host,) = watch.net.events[-1].hosts
+    (host,) = harness.net.events[-1].hosts
     assert (host.id, host.condition, host.kind, host.zone) == (
         "h2",
         interface.Condition.DRAINING,
         1,
         1,
     )
-    assert len(odd) == 3
+    assert len(reported) == 3
 
 
 @pytest.mark.parametrize(
     "reply",
     [
-        answered(503),
-        answered(200, body=b"{"),
-        answered(200, body=b"[" * 30000),
-        answered(200, body=b'{"index": 1e999}'),
+        response(503),
+        response(200, body=b"{"),
+        response(200, body=b"[" * 30000),
+        response(200, body=b'{"index": 1e999}'),
         b"\r\n\r\n",
     ],
 )
-def test_a_failed_watch_is_told_once_and_may_begin_again(monkeypatch, reply):
-    watch = Watch(monkeypatch)
-    watch.watch()
-    watch.made[0].send(reply)
-    watch.net.settle()
-    assert [e.scope for e in watch.net.events] == [
+def test_a_failed_watch_is_reported_once_and_can_restart(monkeypatch, reply):
+    harness = DiscoveryHarness(monkeypatch)
+    harness.start_watch()
+    harness.peers[0].send(reply)
+    harness.net.settle()
+    assert [e.scope for e in harness.net.events] == [
         interface.ListScope.RESTORED,
         interface.ListScope.FAILED,
     ]
-    assert watch.watch() and len(watch.made) == 2 and watch.net.budget.total() == 1
+    assert harness.start_watch() and len(harness.peers) == 2 and harness.net.budget.total() == 1
 
 
 @pytest.mark.parametrize("begun", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{"])
-def test_a_watch_that_went_silent_is_begun_anew_at_once_and_so_is_the_one_in_its_place(
-    monkeypatch, begun
-):
+def test_a_silent_watch_restarts_at_once_each_time(monkeypatch, begun):
     """Danger: the second rested, as after a failure, while what it missed counted as told."""
-    watch = Watch(monkeypatch)
-    watch.watch()
-    watch.tell(0)  # the first, which waits for nothing; those behind it wait for news
-    watch.net.advance(discovery.PAUSE)
+    harness = DiscoveryHarness(monkeypatch)
+    harness.start_watch()
+    harness.reply_list(0)  # the first, which waits for nothing; those behind it wait for news
+    harness.net.advance(discovery.MIN_WATCH_INTERVAL)
     for turn in range(1, 5):
-        watch.made[-1].send(begun)
-        watch.net.advance(11_400 * MS)
-        assert len(watch.made) == turn
-        watch.net.advance(100 * MS)
-        assert len(watch.made) == turn + 1 and drain(watch.made[-1]).startswith(
+        harness.peers[-1].send(begun)
+        harness.net.advance(11_400 * MS)
+        assert len(harness.peers) == turn
+        harness.net.advance(100 * MS)
+        assert len(harness.peers) == turn + 1 and drain(harness.peers[-1]).startswith(
             b"GET /registry/instances?from=0&hold_ms=10000 "
         )
-    scopes = [event.scope for event in watch.net.events]
+    scopes = [event.scope for event in harness.net.events]
     assert interface.ListScope.FAILED not in scopes, "no failure that the module would rest after"
-    watch.refusals += [hosts.Late()] * 2  # the next two never come up
-    watch.net.advance(11_600 * MS)
-    assert watch.net.events[-1].scope is interface.ListScope.FAILED
+    harness.connect_errors += [hosts.Late()] * 2  # the next two never come up
+    harness.net.advance(11_600 * MS)
+    assert harness.net.events[-1].scope is interface.ListScope.FAILED
 
 
-def test_a_whole_list_that_falls_silent_is_asked_for_again_before_it_counts_as_told(monkeypatch):
+def test_a_silent_whole_list_request_is_retried_in_time(monkeypatch):
     """Danger: no wait was asked for, so six seconds after its silence the list counts as told; a slow one gets longer each time."""
-    watch = Watch(monkeypatch)
-    watch.watch()
-    watch.discovery.move()
-    watch.net.settle()
+    harness = DiscoveryHarness(monkeypatch)
+    harness.start_watch()
+    harness.discovery.change_address()
+    harness.net.settle()
     for turn, span in enumerate((5000, 10000, 20000, 20000), start=2):
-        assert drain(watch.made[-1]).startswith(b"GET /registry/instances HTTP")
-        watch.net.advance((span - 100) * MS)
-        assert len(watch.made) == turn
-        watch.net.advance(100 * MS)
-        assert len(watch.made) == turn + 1
-    watch.tell(7, entry(), whole=True)
-    assert [h.id for h in watch.net.events[-1].hosts] == [
+        assert drain(harness.peers[-1]).startswith(b"GET /registry/instances HTTP")
+        harness.net.advance((span - 100) * MS)
+        assert len(harness.peers) == turn
+        harness.net.advance(100 * MS)
+        assert len(harness.peers) == turn + 1
+    harness.reply_list(7, entry(), whole=True)
+    assert [h.id for h in harness.net.events[-1].hosts] == [
         "h1"
-    ] and b"GET /registry/instances?from=7&" in drain(watch.made[-1])
+    ] and b"GET /registry/instances?from=7&" in drain(harness.peers[-1])
 
 
-def test_a_discovery_that_counts_anew_is_asked_for_its_whole_list(monkeypatch):
-    watch = Watch(monkeypatch, {"index": 41, "endpoints": [entry()]})
-    watch.watch()
-    watch.tell(41)  # the first, which waits for nothing
-    watch.net.advance(discovery.PAUSE)
-    drain(watch.made[0])
-    watch.net.advance(9 * SECOND)
-    watch.tell(3)
-    assert drain(watch.made[0]).startswith(b"GET /registry/instances HTTP/1.1\r\n")
-    watch.tell(3, entry("h5"), whole=True)
-    assert [h.id for h in watch.net.events[-1].hosts] == ["h5"]
-    assert drain(watch.made[0]).startswith(b"GET /registry/instances?from=3&")
+def test_a_lower_list_version_makes_the_relay_request_the_whole_list(monkeypatch):
+    harness = DiscoveryHarness(monkeypatch, {"index": 41, "endpoints": [entry()]})
+    harness.start_watch()
+    harness.reply_list(41)  # the first, which waits for nothing
+    harness.net.advance(discovery.MIN_WATCH_INTERVAL)
+    drain(harness.peers[0])
+    harness.net.advance(9 * SECOND)
+    harness.reply_list(3)
+    assert drain(harness.peers[0]).startswith(b"GET /registry/instances HTTP/1.1\r\n")
+    harness.reply_list(3, entry("h5"), whole=True)
+    assert [h.id for h in harness.net.events[-1].hosts] == ["h5"]
+    assert drain(harness.peers[0]).startswith(b"GET /registry/instances?from=3&")
 
 
-def test_answers_at_once_without_news_do_not_spin(monkeypatch):
-    watch = Watch(monkeypatch)
-    watch.watch()
-    watch.tell(0)
-    assert drain(watch.made[0]) == b""
-    watch.net.advance(150 * MS)
-    assert drain(watch.made[0])
+def test_immediate_answers_without_news_do_not_spin(monkeypatch):
+    harness = DiscoveryHarness(monkeypatch)
+    harness.start_watch()
+    harness.reply_list(0)
+    assert drain(harness.peers[0]) == b""
+    harness.net.advance(150 * MS)
+    assert drain(harness.peers[0])
 
 
-class Post:
+class NoticesHarness:
     def __init__(self, monkeypatch):
         self.net = NetHarness()
-        self.made, self.refusals = self.net.intercept_connections(monkeypatch)
+        self.peers, self.connect_errors = self.net.intercept_connections(monkeypatch)
         self.notices = notices.Notices(
             self.net.scheduler, net_config(), self.net.budget, self.net.post
         )
 
-    def notify(self, *ids, denied=False, wait=0):
+    def send_notices(self, *ids, denied=False, wait=0):
         for i in ids:
-            self.notices.notify(ev.Notify(i, denied, wait))
+            self.notices.send_notice(ev.Notify(i, denied, wait))
         self.net.settle()
 
     def reply(self, status):
-        self.made[-1].send(answered(status))
+        self.peers[-1].send(response(status))
         self.net.settle()
 
 
-def test_notices_go_together_and_are_over_once_answered(monkeypatch):
-    post = Post(monkeypatch)
-    post.notify("a")
-    assert drain(post.made[0]).endswith(b'\r\n\r\n{"ref":"a","result":"dead"}\n')
-    post.notify("b", "c", denied=True, wait=1500001)
-    assert drain(post.made[0]) == b"" and not post.net.events
-    post.reply(204)
-    assert drain(post.made[0]).endswith(
+def test_notices_are_batched_and_completed_by_the_answer(monkeypatch):
+    harness = NoticesHarness(monkeypatch)
+    harness.send_notices("a")
+    assert drain(harness.peers[0]).endswith(b'\r\n\r\n{"ref":"a","result":"dead"}\n')
+    harness.send_notices("b", "c", denied=True, wait=1500001)
+    assert drain(harness.peers[0]) == b"" and not harness.net.events
+    harness.reply(204)
+    assert drain(harness.peers[0]).endswith(
         b'{"ref":"b","result":"bounced","wait_ms":2}\n'
         b'{"ref":"c","result":"bounced","wait_ms":2}\n'
     )
-    post.reply(204)
-    assert [e.ids for e in post.net.events] == [["a"], ["b", "c"]] and not post.notices.waiting
-
-
-def test_a_notice_is_sent_again_until_it_is_answered(monkeypatch):
-    post = Post(monkeypatch)
-    post.refusals += [Broken("refused")] * 5
-    post.notify("a")
-    post.net.advance(4 * SECOND)
-    assert len(post.made) >= 1 and not post.net.events
-    silent = len(post.made)
-    post.net.advance(3 * SECOND)
-    assert len(post.made) > silent, "no answer: once more on a new connection"
-    post.reply(204)
-    assert [e.ids for e in post.net.events] == [["a"]]
-
-
-def test_three_quick_failures_leave_a_notice_well_within_its_300_ms(monkeypatch):
-    post = Post(monkeypatch)
-    post.refusals += [Broken("refused")] * 3
-    post.notify("a")
-    post.net.advance(100 * MS, step=5 * MS)
-    assert drain(post.made[0])
-
-
-def test_a_new_notice_does_not_wait_for_the_rest_that_others_failures_brought(monkeypatch):
-    post = Post(monkeypatch)
-    post.notices.notify(ev.Notify("a", False, 0))
+    harness.reply(204)
+    assert [e.ids for e in harness.net.events] == [
+        ["a"],
+        ["b", "c"],
+    ] and not harness.notices.unanswered
+
+
+def test_a_notice_is_retried_until_answered(monkeypatch):
+    harness = NoticesHarness(monkeypatch)
+    harness.connect_errors += [Broken("refused")] * 5
+    harness.send_notices("a")
+    harness.net.advance(4 * SECOND)
+    assert len(harness.peers) >= 1 and not harness.net.events
+    silent = len(harness.peers)
+    harness.net.advance(3 * SECOND)
+    assert len(harness.peers) > silent, "no answer: once more on a new connection"
+    harness.reply(204)
+    assert [e.ids for e in harness.net.events] == [["a"]]
+
+
+def test_a_notice_survives_three_quick_failures_in_time(monkeypatch):
+    harness = NoticesHarness(monkeypatch)
+    harness.connect_errors += [Broken("refused")] * 3
+    harness.send_notices("a")
+    harness.net.advance(100 * MS, step=5 * MS)
+    assert drain(harness.peers[0])
+
+
+def test_a_new_notice_skips_the_backoff_of_others(monkeypatch):
+    harness = NoticesHarness(monkeypatch)
+    harness.notices.send_notice(ev.Notify("a", False, 0))
     for _ in range(8):  # the platform takes each and loses its answer
-        post.net.settle()
-        post.made[-1].close()
-        post.net.advance(700 * MS, step=5 * MS)
-    tries = len(post.made)
-    post.made[-1].close()
-    post.net.settle()
-    post.notices.notify(ev.Notify("b", False, 0))
-    post.net.advance(20 * MS, step=5 * MS)
-    assert len(post.made) == tries + 1 and b'"ref":"b"' in drain(post.made[-1])
-
-
-def test_notices_that_may_not_go_yet_hold_no_hand_over_up(monkeypatch):
-    post = Post(monkeypatch)
-    post.notices.notify(ev.Notify("a", False, 0, post.net.clock() + SECOND))
-    assert post.notices.owed == 1 and post.notices.calm()
-    post.notify("b")
-    assert not post.notices.calm()
-
-
-def test_a_new_notice_does_not_wait_for_an_answer_that_others_wait_long_for(monkeypatch):
+        harness.net.settle()
+        harness.peers[-1].close()
+        harness.net.advance(700 * MS, step=5 * MS)
+    tries = len(harness.peers)
+    harness.peers[-1].close()
+    harness.net.settle()
+    harness.notices.send_notice(ev.Notify("b", False, 0))
+    harness.net.advance(20 * MS, step=5 * MS)
+    assert len(harness.peers) == tries + 1 and b'"ref":"b"' in drain(harness.peers[-1])
+
+
+def test_scheduled_notices_delay_no_handover(monkeypatch):
+    harness = NoticesHarness(monkeypatch)
+    harness.notices.send_notice(ev.Notify("a", False, 0, harness.net.clock() + SECOND))
+    assert harness.notices.pending_count == 1 and harness.notices.is_quiescent()
+    harness.send_notices("b")
+    assert not harness.notices.is_quiescent()
+
+
+def test_a_new_notice_cuts_a_long_answer_timeout_short(monkeypatch):
     """Danger: after lost answers the wait for the next is longer than the rules leave the new notice."""
-    post = Post(monkeypatch)
-    post.notify("a")
-    post.net.advance(
+    harness = NoticesHarness(monkeypatch)
+    harness.send_notices("a")
+    harness.net.advance(
         130 * MS, step=5 * MS
     )  # its first try had no answer, and the second waits for 240 ms
-    post.notify("b")
-    post.net.advance(130 * MS, step=5 * MS)
-    assert b'"ref":"b"' in drain(post.made[-1])
+    harness.send_notices("b")
+    harness.net.advance(130 * MS, step=5 * MS)
+    assert b'"ref":"b"' in drain(harness.peers[-1])
 
 
-def test_a_notice_that_is_declined_does_not_hold_up_the_others(monkeypatch):
-    post = Post(monkeypatch)
-    post.notify("bad")
-    post.notify("good")
+def test_a_declined_notice_blocks_no_others(monkeypatch):
+    harness = NoticesHarness(monkeypatch)
+    harness.send_notices("bad")
+    harness.send_notices("good")
     for _ in range(40):
-        text = drain(post.made[-1]) or b""
+        text = drain(harness.peers[-1]) or b""
         if text:
-            post.reply(400 if b'"bad"' in text else 204)
-        post.net.advance(100 * MS)
-    assert post.net.events[0].ids == ["good"] and list(post.notices.waiting) == ["bad"]
+            harness.reply(400 if b'"bad"' in text else 204)
+        harness.net.advance(100 * MS)
+    assert harness.net.events[0].ids == ["good"] and list(harness.notices.unanswered) == ["bad"]
 
 
-def test_a_task_whose_time_is_up_does_not_wait_for_those_that_can():
+def test_a_due_task_runs_before_tasks_that_can_run():
     net = NetHarness()
     begun, woke = net.clock.now, []
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -111,7 +111,7 @@
     old = [place.accept(place.platform)]
     place.advance(15_100 * MS, step=50 * MS)
     old.append(place.accept(place.platform))
-    assert list(relay.notices.waiting) == ["id1"], "posted, and not answered"
+    assert list(relay.notices.unanswered) == ["id1"], "posted, and not answered"
     for text in (
         "{",
         json.dumps(net_config_fields(discovery="nowhere", known={})),
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -168,7 +168,7 @@
     assert {"id4", "id5", "id6", "id7", "id8"} <= set(new.core.callbacks)
     two.old.on_signal(15)
     two.turn()
-    assert two.old.scheduler.stopped and len(new.hosts.running) == 3
+    assert two.old.scheduler.stopped and len(new.hosts.running_calls) == 3
     third = two.succeed(two.start())  # and once more
     assert third.can_serve() and set(third.core.callbacks) == set(new.core.callbacks)
 
@@ -177,8 +177,8 @@
     two,
 ):
     two.client(ASK % (b"id0", b"notice"))
-    running = two.old.hosts.running[1]
-    running.written = False  # as while its connection comes up
+    running = two.old.hosts.running_calls[1]
+    running.is_written = False  # as while its connection comes up
     new = two.succeed(two.start())
     assert new.core.callbacks["id0"].attempts <= 1 and len(two.calls()) >= 1
     assert new.core.metrics.relayed <= 1 and not new.core.callbacks["id0"].ran_at
@@ -251,7 +251,7 @@
                 sock.send(DONE)
         two.advance(500 * MS)
     assert (
-        list(left.core.callbacks) == ["id2"] == list(left.notices.waiting)
+        list(left.core.callbacks) == ["id2"] == list(left.notices.unanswered)
         and left.core.metrics.end_counts["plain"]["fulfilled"] == 3
     )
 
@@ -379,7 +379,7 @@
 
     old.give = crossed
     made = two.succeed(two.start())
-    assert made.config.discovery == moved and made.discovery.moves == 1
+    assert made.config.discovery == moved and made.discovery.address_changes == 1
 
 
 @pytest.mark.parametrize("moment", ["lock", "mine"])
