--- a/molehill/__main__.py
+++ b/molehill/__main__.py
@@ -10,7 +10,7 @@
 from molehill.relay import Process
 from molehill.runtime.kernel import Kernel
 from molehill.runtime.log import Sink
-from molehill.startup import Start
+from molehill.startup import Startup
 
 
 def watch_signals() -> socket.socket:
@@ -19,8 +19,8 @@
     for side in (read, write):
         side.setblocking(False)
     signal.set_wakeup_fd(write.detach(), warn_on_full_buffer=False)
-    for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-        signal.signal(number, lambda *_: None)
+    for signal_number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
+        signal.signal(signal_number, lambda *_: None)
     signal.signal(signal.SIGPIPE, signal.SIG_IGN)
     return read
 
@@ -36,13 +36,13 @@
         return 2
     try:
         machine, sink = machine or Kernel(), Sink()
-        start = Start(config, machine, sink)
-        if not start.wait(config, signals):
+        startup = Startup(config, machine, sink)
+        if not startup.wait_until_ready(config, signals):
             return 0
         process = Process(
-            config, machine, sink, lambda old: configuration.load(os.environ, again=old), start
+            config, machine, sink, lambda old: configuration.load(os.environ, previous=old), startup
         )
-        process.clients.listen(start.estate and start.estate.listener)
+        process.clients.listen(startup.handover and startup.handover.listener)
     except configuration.ConfigError as error:
         print(f"molehill: {error}", file=sys.stderr)
         return 2
@@ -52,7 +52,7 @@
             file=sys.stderr,
         )
         return 1
-    process.begin(signals)
+    process.begin_serving(signals)
     gc.freeze()  # what is here now stays: later collections pass over it
     process.run()
     return 0
--- a/molehill/benchlink/__main__.py
+++ b/molehill/benchlink/__main__.py
@@ -26,12 +26,12 @@
 
     def read_host_table(self, table: str, count: str) -> None:
         rows = []
-        for _ in range(codec.whole(count)):
+        for _ in range(codec.parse_integer(count)):
             fields = self.read_line().split()
             if len(fields) < 7 or fields[0] != "host":
                 raise codec.WireError("a 'host' line with its values was due")
             rows.append(codec.parse_host_entry(fields[1:]))
-        self.host_tables[codec.whole(table)] = rows
+        self.host_tables[codec.parse_integer(table)] = rows
 
     def run_batch(self, now: int) -> str:
         """Reads events up to 'commit' and gives the reply; each instance gets its own in order of arrival."""
@@ -51,15 +51,15 @@
                 continue
             if len(fields) < 2:
                 raise codec.WireError("an event without its values")
-            instance = codec.whole(fields[1])
+            instance = codec.parse_integer(fields[1])
             if event_name == "launch":
                 if len(fields) < 3:
                     raise codec.WireError("'launch' lacks values")
                 settings_by_path = codec.parse_pairs(fields[3:])
                 self.instances[instance] = Dispatcher(
-                    config.settings(settings_by_path), codec.whole(fields[2])
+                    config.parse_settings(settings_by_path), codec.parse_integer(fields[2])
                 )
-                self.limit_positions[instance] = config.limit_places(settings_by_path)
+                self.limit_positions[instance] = config.limit_field_indexes(settings_by_path)
                 batches[instance] = []
                 continue
             if event_name not in codec.EVENT_PARSERS and event_name not in codec.IGNORED_EVENTS | {
@@ -78,12 +78,12 @@
             elif event_name == "sync":
                 if len(fields) < 3:
                     raise codec.WireError("'sync' lacks values")
-                scope = codec.named(fields[2], codec.SCOPES)
+                scope = codec.parse_choice(fields[2], codec.SCOPES)
                 rows = []
                 if scope is not interface.ListScope.FAILED:
-                    if len(fields) < 4 or codec.whole(fields[3]) not in self.host_tables:
+                    if len(fields) < 4 or codec.parse_integer(fields[3]) not in self.host_tables:
                         raise codec.WireError("'sync' names a table that was not declared")
-                    rows = self.host_tables[codec.whole(fields[3])]
+                    rows = self.host_tables[codec.parse_integer(fields[3])]
                 events.append(interface.HostListUpdate(scope, rows))
             elif event_name == "reply":
                 if len(fields) < 9:
@@ -115,7 +115,7 @@
                 continue
             if fields[0] != "round" or len(fields) < 2:
                 raise codec.WireError("a 'round' line was due")
-            write(self.run_batch(codec.nanos(fields[1])) + "ready\n")
+            write(self.run_batch(codec.parse_nanoseconds(fields[1])) + "ready\n")
             flush()
 
 
--- a/molehill/benchlink/codec.py
+++ b/molehill/benchlink/codec.py
@@ -1,7 +1,14 @@
 """The bench's text wire, both ways. It translates and nothing else; molehill/interface.py has the types."""
 
 from molehill import interface
-from molehill.config import NS_DIGITS, ConfigError, named, nanos, real, whole
+from molehill.config import (
+    NS_DIGITS,
+    ConfigError,
+    parse_choice,
+    parse_float,
+    parse_integer,
+    parse_nanoseconds,
+)
 
 RESULTS = {
     "S": interface.Result.DELIVERED,
@@ -48,7 +55,7 @@
         else []
     )
     rate, share_left = (
-        real(values[n]) if n is not None and len(values) > n else None
+        parse_float(values[n]) if n is not None and len(values) > n else None
         for n in positions or (None, None)
     )
     return rate or 0.0, share_left if rate else None
@@ -56,36 +63,36 @@
 
 def parse_host_entry(fields: list[str]) -> interface.HostEntry:
     return interface.HostEntry(
-        whole(fields[0]),
-        parse_optional(fields[1], whole, 0),
-        parse_optional(fields[2], whole, 0),
-        whole(fields[3]),
-        named(fields[4], CONDITIONS),
-        parse_optional(fields[5], real, 0.0),
+        parse_integer(fields[0]),
+        parse_optional(fields[1], parse_integer, 0),
+        parse_optional(fields[2], parse_integer, 0),
+        parse_integer(fields[3]),
+        parse_choice(fields[4], CONDITIONS),
+        parse_optional(fields[5], parse_float, 0.0),
     )
 
 
 def parse_new_callback(fields: list[str]) -> interface.NewCallback:
     return interface.NewCallback(
-        whole(fields[0]),
-        whole(fields[1]),
-        parse_optional(fields[2], whole, 0),
+        parse_integer(fields[0]),
+        parse_integer(fields[1]),
+        parse_optional(fields[2], parse_integer, 0),
         parse_optional(fields[3], str, None),
-        nanos(fields[4]),
-        whole(fields[6]),
+        parse_nanoseconds(fields[4]),
+        parse_integer(fields[6]),
     )
 
 
 def parse_outcome(fields: list[str], positions) -> interface.Outcome:
-    result = named(fields[3], RESULTS)
-    retry_after_ms = parse_optional(fields[1], whole, 0)
+    result = parse_choice(fields[3], RESULTS)
+    retry_after_ms = parse_optional(fields[1], parse_integer, 0)
     rate, share_left = advertised_limit(fields, 7, positions)
     return interface.Outcome(
-        whole(fields[0]),
-        whole(fields[5]),
-        whole(fields[6]),
+        parse_integer(fields[0]),
+        parse_integer(fields[5]),
+        parse_integer(fields[6]),
         result,
-        nanos(fields[2]),
+        parse_nanoseconds(fields[2]),
         retry_after_ms * 10**NS_DIGITS if result is interface.Result.REFUSED else 0,
         fields[4] == "1",
         rate,
@@ -97,7 +104,7 @@
 EVENT_PARSERS = {
     "new_request": (7, parse_new_callback),
     "timer": (1, lambda fields: interface.TimerExpired(fields[0])),
-    "dropped": (1, lambda fields: interface.CallbackWithdrawn(whole(fields[0]))),
+    "dropped": (1, lambda fields: interface.CallbackWithdrawn(parse_integer(fields[0]))),
 }
 IGNORED_EVENTS = {
     "whisper",
--- a/molehill/core/events.py
+++ b/molehill/core/events.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(slots=True)
-class Start:  # the log has been read: take up what is owed
+class Startup:  # the log has been read: take up what is owed
     pass
 
 
--- a/molehill/core/reducer.py
+++ b/molehill/core/reducer.py
@@ -12,7 +12,7 @@
 from typing import Optional
 
 from molehill import interface
-from molehill.config import CONNECT_TIME_OUT, MS
+from molehill.config import DEFAULT_CONNECT_TIMEOUT, MS
 from molehill.core import events as ev
 from molehill.core import permission, recovery
 from molehill.core.callback import (
@@ -54,7 +54,7 @@
         make_module,
         log_capacity,
         names=None,
-        connect_timeout=CONNECT_TIME_OUT,
+        connect_timeout=DEFAULT_CONNECT_TIMEOUT,
     ):
         """`names`: those of the settings' categories, by which figures and the log know them; else their numbers.
         `connect_timeout`: as of core/final_notices.py."""
@@ -98,7 +98,7 @@
         # after a restart no call is begun before discovery has answered or failed, or till then
         self.list_deadline: Optional[int] = None
         self.handlers = {
-            ev.Start: self._on_start,
+            ev.Startup: self._on_start,
             ev.Submitted: self._on_submitted,
             ev.AnswerWritten: self._on_answer_written,
             ev.AnswerNotWritten: self._on_answer_not_written,
--- a/molehill/emulator/disk.py
+++ b/molehill/emulator/disk.py
@@ -44,16 +44,16 @@
             raise FileNotFoundError(errno.ENOENT, path)
         del self.files[path]
 
-    def open(self, path: str, anew: bool = False) -> int:
+    def open(self, path: str, truncate: bool = False) -> int:
         self.step("open")
-        if anew or path not in self.files:
+        if truncate or path not in self.files:
             self.files[path] = bytearray()
         self.serial += 1
         # by the file, not its name: a rename changes nothing
         self.fds[self.serial] = [self.files[path], 0]
         return self.serial
 
-    def is_file(self, path: str, fd: int) -> bool:
+    def is_same_file(self, path: str, fd: int) -> bool:
         return self.files.get(path) is self.fds[fd][0]
 
     def read(self, path: str) -> bytes:
@@ -84,8 +84,8 @@
         del file[size:]
         file.extend(bytes(size - len(file)))
 
-    def seek(self, fd: int, at: int) -> None:
-        self.fds[fd][1] = at
+    def seek(self, fd: int, offset: int) -> None:
+        self.fds[fd][1] = offset
 
     def rename(self, old: str, new: str) -> None:
         self.step("rename")
--- a/molehill/emulator/life.py
+++ b/molehill/emulator/life.py
@@ -307,10 +307,10 @@
             number,
             UP,
         )
-        self.disk, self.clock, self.wall, self.boot_id, self.fds = (
+        self.disk, self.clock, self.wall_clock, self.boot_id, self.fds = (
             node.disk,
             node.clock,
-            node.wall,
+            node.wall_clock,
             "emulated",
             {},
         )
@@ -322,7 +322,7 @@
     @property
     def serving(self) -> bool:
         """Whether the relay is lost if this process is."""
-        return self.state is UP and self.process is not None and not self.process.given
+        return self.state is UP and self.process is not None and not self.process.handed_over
 
     # The machine that is handed to it
 
@@ -359,16 +359,16 @@
             raise OSError(errno.EMFILE, "no descriptor is left")
         return Descriptor(self, kind(self.node.network, self.node.place))
 
-    def meet(self, folder: str) -> Descriptor:
+    def listen_for_successor(self, folder: str) -> Descriptor:
         self.step("meet")
         self.node.meeting = Meeting()
         return Descriptor(self, self.node.meeting)
 
-    def reach(self, folder: str) -> Descriptor:
+    def connect_to_predecessor(self, folder: str) -> Descriptor:
         self.step("reach")
         return Descriptor(self, self.node.meeting.offer())
 
-    def adopt(self, fd: int) -> Descriptor:
+    def socket_from_descriptor(self, fd: int) -> Descriptor:
         return self.fds[fd]
 
     def close(self, fd: int) -> None:
@@ -379,22 +379,22 @@
     def _live(self) -> None:
         """As `python -m molehill` does."""
         node, sink = self.node, Sink(self.node)
-        config = configuration.check(node.given(), {})
+        config = configuration.parse_config(node.given(), {})
         node.most_fds = (
             config.sockets
-            + configuration.STANDING
+            + configuration.RESERVED_DESCRIPTORS
             + (configuration.FLEET_SOCKETS if config.fleet else 0)
         )
         self.signals = Descriptor(self, Signals())
-        start = relay.Start(config, self, sink)
-        if not start.wait(config, self.signals):
+        start = relay.Startup(config, self, sink)
+        if not start.wait_until_ready(config, self.signals):
             return
-        node.takes_over(self, warm=start.estate is not None)
+        node.takes_over(self, warm=start.handover is not None)
         self.process = relay.Process(
-            config, self, sink, lambda before: configuration.check(node.given(), {}), start
+            config, self, sink, lambda before: configuration.parse_config(node.given(), {}), start
         )
-        self.process.clients.listen(start.estate and start.estate.listener)
-        self.process.begin(self.signals)
+        self.process.clients.listen(start.handover and start.handover.listener)
+        self.process.begin_serving(self.signals)
         node.ready(self)
         self.process.run()
 
--- a/molehill/emulator/mutations.py
+++ b/molehill/emulator/mutations.py
@@ -27,7 +27,7 @@
         taken = [e for e in effects if type(e) is ev.Append and e.record["k"] == "taken"]
         before(self, [e for e in effects if e not in taken])
         if taken:
-            self.scheduler.at(self.clock() + 3 * config.MS, lambda: before(self, taken))
+            self.scheduler.call_at(self.clock() + 3 * config.MS, lambda: before(self, taken))
 
     return carry
 
@@ -185,17 +185,17 @@
 
     def accept(self):
         while self.listener is not None:
-            if self.is_paused or not self.budget.take("client", config.OUTGOING):
-                self.scheduler.sleep(self.clock() + self.ACCEPT_RETRY_DELAY)
+            if self.is_paused or not self.budget.acquire("client", config.RESERVED_OUTGOING):
+                self.scheduler.sleep_until(self.clock() + self.ACCEPT_RETRY_DELAY)
                 continue
             try:
                 sock, _ = self.listener.accept()
             except BlockingIOError:
-                self.budget.give("client")
+                self.budget.release("client")
                 self.scheduler.wait(self.listener.fileno(), READ)
                 continue
             except OSError:
-                self.budget.give("client")
+                self.budget.release("client")
                 continue
             self.open_connection(sock)
 
@@ -204,7 +204,9 @@
 
 def wall_time(before):
     def find(lines, machine):
-        return log_clock.LogClock(machine.wall() - machine.clock(), log_clock.EpochSource.NEW_LOG)
+        return log_clock.LogClock(
+            machine.wall_clock() - machine.clock(), log_clock.EpochSource.NEW_LOG
+        )
 
     return find
 
@@ -230,11 +232,11 @@
         accepts_without_a_wait,
     ),
     "a start opens its log once": (
-        startup.Start,
-        "try_log",
+        startup.Startup,
+        "try_open_log",
         lambda before: lambda self: (self.open_log(), True)[1],
     ),
-    "answered before it is logged": (Engine, "carry", answer_before_log),
+    "answered before it is logged": (Engine, "execute_effects", answer_before_log),
     "launch not logged": (Core, "_log", without_record("launch")),
     "end not logged": (Core, "_log", without_record("end")),
     "notice that is owed not taken up": (Core, "load", not_loaded("owed")),
@@ -243,29 +245,29 @@
     "rewrite forgets what was launched": (Core, "snapshot", rewritten_without_owed),
     "ticket window off by a tenth": (
         config,
-        "settings",
+        "parse_settings",
         settings_with(deduplication_window=lambda w: w * 11 // 10),
     ),
     "ticket window off by a quarter": (
         config,
-        "settings",
+        "parse_settings",
         settings_with(deduplication_window=lambda w: w * 5 // 4),
     ),
     "ticket's zone not heeded": (
         config,
-        "settings",
+        "parse_settings",
         settings_with(deduplicated_everywhere=lambda _: True, deduplicated_in_zone=lambda _: False),
     ),
     "exclusive taken for rerunnable": (
         config,
-        "settings",
+        "parse_settings",
         settings_with(
             semantics=lambda e: interface.DeliverySemantics.IDEMPOTENT
             if e is interface.DeliverySemantics.AT_MOST_ONCE
             else e
         ),
     ),
-    "order of keys not kept": (config, "settings", settings_with(ordered=lambda _: False)),
+    "order of keys not kept": (config, "parse_settings", settings_with(ordered=lambda _: False)),
     "key's rest forgotten": (
         Lifecycle,
         "start_key_cooldown",
@@ -287,7 +289,7 @@
         lambda before: {**before, "leaving": interface.Condition.UP},
     ),
     "told wait not read": (hosts, "retry_after", lambda before: lambda head: 0),
-    "wait heeded by host, not by destination": (config, "settings", routes_apart),
+    "wait heeded by host, not by destination": (config, "parse_settings", routes_apart),
     "late answer ends another callback": (hosts.Hosts, "_end_without_answer", kept_after_time_out),
     "a call goes on after the time of one in it": (hosts, "call_deadline", with_the_last),
     "notice sent once only": (notices.Notices, "_send_batch", never_resent),
@@ -343,7 +345,7 @@
     ),
     "a connection closed over what lies unread": (
         clients,
-        "finish",
+        "end_sending_and_drain",
         lambda before: lambda stream, span, most: None,
     ),
     "a whole list waited for as long as a watch": (
--- a/molehill/emulator/node.py
+++ b/molehill/emulator/node.py
@@ -43,7 +43,7 @@
     def clock(self) -> int:
         return self.world.now
 
-    def wall(self) -> int:
+    def wall_clock(self) -> int:
         """Unix time as this machine has it; a fault may step it."""
         return self.world.now + self.wall_step
 
@@ -96,7 +96,7 @@
 
     def hangs(self, life, until: int) -> None:
         """A process stands still; the relay with it, if that is the one that serves or has all from the one that did."""
-        if life is self.owner or self.owner.process is not None and self.owner.process.given:
+        if life is self.owner or self.owner.process is not None and self.owner.process.handed_over:
             self.world.tell(self.name, "frozen", until=until)
         elif self.world.now + SOON < until:
             self.world.after(SOON, self.hangs, life, until)
@@ -123,7 +123,7 @@
 
     def orphaned(self) -> None:
         """Gone after all, if the process that is left had given all to the one that died."""
-        if self.owner.state is UP and self.owner.process.given and not self.up:
+        if self.owner.state is UP and self.owner.process.handed_over and not self.up:
             self.gone(self.owner)
 
     def gone(self, life) -> None:
--- a/molehill/fleet/shims.py
+++ b/molehill/fleet/shims.py
@@ -71,10 +71,10 @@
                 self.control.say(what, wrong[key])
                 raise OSError(wrong[key], what)
 
-    def open(self, path: str, anew: bool = False) -> int:
-        if anew:
+    def open(self, path: str, truncate: bool = False) -> int:
+        if truncate:
             self.check("open", "disk", "files")
-        return Disk.open(path, anew)
+        return Disk.open(path, truncate)
 
     def truncate(self, fd: int, size: int) -> None:
         self.check("ftruncate", "disk", "files")
@@ -136,12 +136,12 @@
 
 
 class ShimmedKernel(Kernel):
-    """`path`: the control file; `clock`, `wall` as of Kernel."""
+    """`path`: the control file; `clock`, `wall_clock` as of Kernel."""
 
-    def __init__(self, path: str, clock=None, wall=None):
-        super().__init__(clock, wall)
-        self.control, true_wall = Control(path), self.wall
-        self.wall = lambda: true_wall() + int(self.control.now().get("wall_ms", 0) * MS)
+    def __init__(self, path: str, clock=None, wall_clock=None):
+        super().__init__(clock, wall_clock)
+        self.control, true_wall = Control(path), self.wall_clock
+        self.wall_clock = lambda: true_wall() + int(self.control.now().get("wall_ms", 0) * MS)
         self.disk = FailingDisk(self.control)
         FailingSocket.calls = FailingCalls(self.control, Random(path))
 
--- a/molehill/http/admin.py
+++ b/molehill/http/admin.py
@@ -6,11 +6,18 @@
 
 import errno
 
-from molehill.config import ADMIN_SEATS, MS, SECOND
+from molehill.config import MAX_ADMIN_CONNECTIONS, MS, SECOND
 from molehill.http import parser as http
 from molehill.http.stream import HttpStream
 from molehill.runtime.scheduler import READ
-from molehill.runtime.stream import PASSING, Broken, Budget, Late, finish, listening
+from molehill.runtime.stream import (
+    TRANSIENT_ERRNOS,
+    ConnectionBroken,
+    DescriptorBudget,
+    TimedOut,
+    end_sending_and_drain,
+    open_listener,
+)
 
 # for a whole call: twice what an answer may take, so a slow but honest one is served
 REQUEST_TIMEOUT = 2 * SECOND
@@ -28,44 +35,44 @@
             "/metrics": lambda: (200, figures().encode()),
         }
         # reading: streams without a whole head, the oldest first
-        self.connection_budget, self.reading_streams = Budget(ADMIN_SEATS), {}
+        self.connection_budget, self.reading_streams = DescriptorBudget(MAX_ADMIN_CONNECTIONS), {}
         self.address, self.listener, self.is_closed = address, None, False
         self.listen()
-        scheduler.spawn_kept(self.serve_listener)
+        scheduler.spawn_supervised(self.serve_listener)
 
     def listen(self) -> None:
         """Raises OSError where waiting does not help."""
         try:
-            self.listener = listening(self.scheduler.machine, self.address)
+            self.listener = open_listener(self.scheduler.machine, self.address)
         except OSError as error:
-            if error.errno not in PASSING:
+            if error.errno not in TRANSIENT_ERRNOS:
                 raise
 
     def serve_listener(self) -> None:
         while self.listener is None and not self.is_closed:
-            self.scheduler.sleep(self.clock() + RETRY_DELAY)
+            self.scheduler.sleep_until(self.clock() + RETRY_DELAY)
             self.listen()
         self.accept_connections()
 
     def accept_connections(self) -> None:
         while self.listener is not None:
             # Danger: callers that hold a connection with no whole call take every seat. The one that has had most time goes.
-            if not self.connection_budget.take("admin"):
+            if not self.connection_budget.acquire("admin"):
                 if self.reading_streams:
                     oldest = next(iter(self.reading_streams))
                     del self.reading_streams[oldest]
                     oldest.close()
                 else:
-                    self.scheduler.sleep(self.clock() + RETRY_DELAY)
+                    self.scheduler.sleep_until(self.clock() + RETRY_DELAY)
                 continue
             try:
                 sock, _ = self.listener.accept()
             except OSError as error:
-                self.connection_budget.give("admin")
+                self.connection_budget.release("admin")
                 if error.errno in (errno.EAGAIN, errno.EWOULDBLOCK):
                     self.scheduler.wait(self.listener.fileno(), READ)
                 else:
-                    self.scheduler.sleep(self.clock() + RETRY_DELAY)
+                    self.scheduler.sleep_until(self.clock() + RETRY_DELAY)
                 continue
             stream = HttpStream(
                 self.scheduler, sock, "admin", self.connection_budget, reads_responses=False
@@ -73,7 +80,7 @@
             self.reading_streams[stream] = True
             self.scheduler.spawn(self.serve_connection, stream)
             # what has come on it is read before another can take its seat
-            self.scheduler.pause()
+            self.scheduler.yield_now()
 
     def serve_connection(self, stream) -> None:
         until = self.clock() + REQUEST_TIMEOUT
@@ -89,8 +96,8 @@
                 ),
                 until,
             )
-            finish(stream, LINGER_TIMEOUT, MAX_LINGER_BYTES)
-        except (Broken, Late, OSError):
+            end_sending_and_drain(stream, LINGER_TIMEOUT, MAX_LINGER_BYTES)
+        except (ConnectionBroken, TimedOut, OSError):
             pass
         finally:
             self.reading_streams.pop(stream, None)
@@ -106,5 +113,5 @@
     def close(self) -> None:
         listener, self.listener, self.is_closed = self.listener, None, True
         if listener is not None:
-            self.scheduler.cut(listener.fileno())
+            self.scheduler.cancel_wait(listener.fileno())
             listener.close()
--- a/molehill/http/callback_request.py
+++ b/molehill/http/callback_request.py
@@ -16,9 +16,9 @@
     callback_id, kind = headers.get("req-id", ""), headers.get("req-kind", "")
     if not callback_id or not is_plain_text(callback_id):
         raise http.MalformedMessage(400, "Req-Id is missing or not an id")
-    if kind not in config.categories:
+    if kind not in config.callback_classes:
         raise http.MalformedMessage(400, "Req-Kind is not a class that is served here")
-    callback_class = config.categories[kind]
+    callback_class = config.callback_classes[kind]
     class_settings = config.settings.callback_classes[callback_class]
     key = http.cookie_value(headers, "subject") if class_settings.ordered else None
     idempotency_key = headers.get("idempotency-key")
--- a/molehill/http/clients.py
+++ b/molehill/http/clients.py
@@ -4,14 +4,20 @@
 from collections import Counter
 from enum import Enum
 
-from molehill.config import MS, OUTGOING, SECOND
+from molehill.config import MS, RESERVED_OUTGOING, SECOND
 from molehill.core import events as ev
 from molehill.http import callback_request
 from molehill.http import parser as http
 from molehill.http.stream import HttpStream
 from molehill.invariants import check_invariant
-from molehill.runtime.scheduler import LATE, READ
-from molehill.runtime.stream import PASSING, Broken, Late, finish, listening
+from molehill.runtime.scheduler import READ, TIMED_OUT
+from molehill.runtime.stream import (
+    TRANSIENT_ERRNOS,
+    ConnectionBroken,
+    TimedOut,
+    end_sending_and_drain,
+    open_listener,
+)
 from molehill.runtime.trace import NO_TRACE, Step
 
 # A client that sends no whole request is owed an end within three seconds of connecting. Both fit in, and half a
@@ -109,10 +115,10 @@
         self.startup_until = 0
         # connections between requests, the one idle longest first
         self.idle_connections = {usage: {} for usage in MIN_IDLE_TIMES}
-        budget.idlers["left client"] = lambda: self.close_longest_idle(
+        budget.idle_closers["left client"] = lambda: self.close_longest_idle(
             FOR_NEW_CONNECTION, SAFE_IDLE_TIME
         )
-        budget.idlers["client"] = lambda: self.close_longest_idle(FOR_NEW_CONNECTION)
+        budget.idle_closers["client"] = lambda: self.close_longest_idle(FOR_NEW_CONNECTION)
 
     def start_serving(self, read_delay: int = MAX_READ_DELAY) -> None:
         """Serves from here on; `read_delay`: how long what is read now may have waited for this process."""
@@ -125,20 +131,20 @@
     def listen(self, listener=None) -> None:
         """Takes connections, on the listener that an earlier process handed over or on a new one."""
         try:
-            self.listener = listener or listening(self.scheduler.machine, self.config.listen)
+            self.listener = listener or open_listener(self.scheduler.machine, self.config.listen)
         except OSError as error:
-            if error.errno not in PASSING:
+            if error.errno not in TRANSIENT_ERRNOS:
                 raise
             self.counts["listen failed"] += 1
-        self.budget.take("listener")
-        self.scheduler.spawn_kept(self.serve_listener)
+        self.budget.acquire("listener")
+        self.scheduler.spawn_supervised(self.serve_listener)
 
     def serve_listener(self) -> None:
         """Danger: a restart in a moment in which the machine lacks something must not be a relay that will not start."""
         while self.listener is None and not self.is_closing:
-            self.scheduler.sleep(self.clock() + self.ACCEPT_RETRY_DELAY)
+            self.scheduler.sleep_until(self.clock() + self.ACCEPT_RETRY_DELAY)
             try:
-                self.listener = listening(self.scheduler.machine, self.config.listen)
+                self.listener = open_listener(self.scheduler.machine, self.config.listen)
             except OSError:
                 self.counts["listen failed"] += 1
         self.accept_connections()
@@ -156,31 +162,31 @@
             if self.is_paused:
                 self.scheduler.wait(self.listener.fileno(), 0)
                 continue
-            self.lacks_descriptors = not self.budget.take("client", OUTGOING)
+            self.lacks_descriptors = not self.budget.acquire("client", RESERVED_OUTGOING)
             # meanwhile answers end their connections, where nothing can be lost
             if self.lacks_descriptors:
-                self.scheduler.sleep(self.clock() + self.ACCEPT_RETRY_DELAY)
+                self.scheduler.sleep_until(self.clock() + self.ACCEPT_RETRY_DELAY)
                 continue
             try:
                 sock, _ = self.listener.accept()
             except OSError as error:
-                self.budget.give("client")
+                self.budget.release("client")
                 if error.errno in (errno.EAGAIN, errno.EWOULDBLOCK):
                     self.scheduler.wait(self.listener.fileno(), READ)
-                    self.accept_wait_start = self.scheduler.task_came_after()
+                    self.accept_wait_start = self.scheduler.last_wait_arrived_after()
                     continue
                 failures += 1
                 self.counts["accept failed"] += 1
                 if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
                     self.close_longest_idle(FOR_NEW_CONNECTION)
-                    self.scheduler.sleep(self.clock() + self.ACCEPT_RETRY_DELAY)
+                    self.scheduler.sleep_until(self.clock() + self.ACCEPT_RETRY_DELAY)
                 elif failures <= self.IMMEDIATE_ACCEPT_RETRIES:
-                    self.scheduler.pause()
+                    self.scheduler.yield_now()
                 else:
-                    self.scheduler.sleep(self.clock() + self.ACCEPT_RETRY_DELAY)
+                    self.scheduler.sleep_until(self.clock() + self.ACCEPT_RETRY_DELAY)
                 continue
             failures = 0
-            self.open_connection(sock).stream.empty_at = self.accept_wait_start
+            self.open_connection(sock).stream.known_empty_at = self.accept_wait_start
 
     def open_connection(self, sock, data=b"", usage=UNUSED) -> ClientConnection:
         """Serves a connection whose place in the budget is taken; `data`: what was read of it before."""
@@ -188,7 +194,7 @@
         stream = HttpStream(self.scheduler, sock, "client", self.budget, reads_responses=False)
         connection = ClientConnection(stream, self.last_number)
         connection.usage = usage
-        connection.stream.refill(data)
+        connection.stream.restore_unread(data)
         self.connections[connection] = True
         self.mark_idle(connection)
         connection.task = self.scheduler.spawn(self.serve_connection, connection)
@@ -220,7 +226,7 @@
                     span if usage is UNUSED else max(span, min_idle)
                 ):
                     break
-                if connection.stream.quiet():
+                if connection.stream.is_quiet():
                     self.close_connection(connection, CloseReason.MAKE_ROOM)
                     return True
         return False
@@ -257,9 +263,9 @@
             while self.serve_request(connection):
                 pass
             reason = CloseReason.LAST_ANSWER
-        except Late:
+        except TimedOut:
             reason = CloseReason.UNANSWERED if connection.has_open_request else CloseReason.TIMEOUT
-        except (Broken, OSError):
+        except (ConnectionBroken, OSError):
             pass
         finally:
             self.connections.pop(connection, None)
@@ -277,7 +283,7 @@
         try:
             if len(stream.buffer):
                 # requests sent in a row don't hold up the other connections
-                self.scheduler.pause()
+                self.scheduler.yield_now()
             else:
                 self.mark_idle(connection)
                 stream.read(
@@ -288,8 +294,8 @@
             while self.is_paused:
                 self.paused_tasks.append(connection.task)
                 self.scheduler.wait()
-                if not stream.open:
-                    raise Broken("given to the next process")
+                if not stream.is_open:
+                    raise ConnectionBroken("given to the next process")
             self.mark_active(connection)
             head, body = self.read_request(stream)
             connection.has_open_request = True
@@ -329,7 +335,7 @@
         """
         connection.close_reason = reason
         self.counts[f"closed: {reason.value}"] += 1
-        finish(connection.stream, LINGER_TIMEOUT, MAX_LINGER_BYTES)
+        end_sending_and_drain(connection.stream, LINGER_TIMEOUT, MAX_LINGER_BYTES)
 
     def read_request(self, stream):
         """A request's head and body."""
@@ -344,7 +350,7 @@
                 stream.send(b"HTTP/1.1 100 Continue\r\n\r\n", until)
             body, stream.parser.raw_head = stream.read_body(head, until) if length else b"", b""
             return head, body
-        except Late:
+        except TimedOut:
             raise http.MalformedMessage(408, "the request did not get whole in time") from None
 
     def route_request(self, connection, head, body):
@@ -374,7 +380,7 @@
         until = self.clock() + ANSWER_TIMEOUT
         while connection.answer is None:
             # danger: the answer may have come in the same turn, and what it took on must not be withdrawn
-            if self.scheduler.wait(until=until) == LATE and connection.answer is None:
+            if self.scheduler.wait(deadline=until) == TIMED_OUT and connection.answer is None:
                 # Withdrawn, it has surely not run. Danger: closed without an answer, it is lost to its client.
                 self.post(ev.AnswerNotWritten(callback.id, connection))
                 connection.answer = connection.answer or (503, 0, "not answered")
@@ -394,7 +400,7 @@
         Danger: right after a start nothing tells how long what is read has waited; it may be as long as any client waits.
         """
         now = self.clock()
-        span = now - connection.stream.came_after
+        span = now - connection.stream.arrived_after
         if now < self.startup_until:
             span = max(span, self.startup_read_delay)
         return min(span, MAX_READ_DELAY)
@@ -413,10 +419,10 @@
             connection.answer[0] == 202,
         )
         try:
-            if connection.stream.ended():
-                raise Broken("gone before its answer")
+            if connection.stream.has_ended():
+                raise ConnectionBroken("gone before its answer")
             connection.stream.send(data, self.clock() + WRITE_TIMEOUT)
-        except (Broken, Late):
+        except (ConnectionBroken, TimedOut):
             if is_accepted:
                 self.counts["gone"] += 1
                 self.trace.record(Step.WITHDRAWN, request_id, connection=connection.number)
@@ -449,7 +455,7 @@
         for task in paused_tasks:
             self.scheduler.resume(task)
         if self.listener is not None:
-            self.scheduler.cut(self.listener.fileno())
+            self.scheduler.cancel_wait(self.listener.fileno())
 
     def close_unanswered(self) -> None:
         """Those whose answer can't be written in time: the core learns that they have not heard."""
@@ -460,7 +466,9 @@
     def hand_over(self):
         """The connections, as rows (message, body, socket). Nothing of them is used here any more."""
         rows = []
-        for connection in [connection for connection in self.connections if connection.stream.open]:
+        for connection in [
+            connection for connection in self.connections if connection.stream.is_open
+        ]:
             connection.close_reason = CloseReason.HAND_OVER
             sock, data = connection.stream.detach()
             rows.append(({"k": "client", "kind": connection.usage}, data, sock))
@@ -468,7 +476,7 @@
 
     def adopt_connection(self, message, data, sock) -> None:
         """A connection that an earlier process gave, or that comes back."""
-        if not self.budget.take("client", OUTGOING):
+        if not self.budget.acquire("client", RESERVED_OUTGOING):
             sock.close()
             return
         self.open_connection(
@@ -485,11 +493,11 @@
         if listener is None:
             return
         failures = 0
-        while self.budget.take("client", OUTGOING):
+        while self.budget.acquire("client", RESERVED_OUTGOING):
             try:
                 sock, _ = listener.accept()
             except OSError as error:
-                self.budget.give("client")
+                self.budget.release("client")
                 failures += 1
                 if (
                     error.errno in (errno.EAGAIN, errno.EWOULDBLOCK)
@@ -505,9 +513,9 @@
     def close_listener(self) -> None:
         listener, self.listener = self.listener, None
         if listener is not None:
-            self.scheduler.cut(listener.fileno())
+            self.scheduler.cancel_wait(listener.fileno())
             listener.close()
-            self.budget.give("listener")
+            self.budget.release("listener")
 
     def close_idle_connections(self) -> None:
         """Closes what no request is on its way on, so that none is read from here on but such as lie there already; those get
@@ -515,7 +523,7 @@
         for connection in [
             connection
             for connection in self.connections
-            if connection.stream.idle_since and connection.stream.quiet()
+            if connection.stream.idle_since and connection.stream.is_quiet()
         ]:
             self.close_connection(connection, CloseReason.SHUTDOWN_IDLE)
 
--- a/molehill/http/discovery.py
+++ b/molehill/http/discovery.py
@@ -5,13 +5,13 @@
 from typing import Optional
 
 from molehill import interface
-from molehill.config import MS, SECOND, ConfigError, address
+from molehill.config import MS, SECOND, ConfigError, parse_address
 from molehill.core import events as ev
 from molehill.core.host_list import restore_host_list
 from molehill.http import parser as http
 from molehill.http.stream import HttpStream
 from molehill.invariants import check_invariant
-from molehill.runtime.stream import Broken, Late, Single
+from molehill.runtime.stream import ConnectionBroken, PersistentConnection, TimedOut
 
 # a watch that went silent is noticed within this and the next figure
 WATCH_HOLD = 10 * SECOND
@@ -57,7 +57,7 @@
         kind = config.kinds.get(row.get("type"), len(config.kinds))
         host = ev.Host(
             str(row["name"]),
-            address(row["address"], "address"),
+            parse_address(row["address"], "address"),
             0,
             kind,
             int(row["group"]),
@@ -92,7 +92,7 @@
     }
 
 
-class ResponseTimeout(Late):
+class ResponseTimeout(TimedOut):
     """Discovery took a call and tells nothing, or only half."""
 
 
@@ -112,7 +112,9 @@
             HttpStream, max_body_bytes=max(MIN_LIST_BYTES, config.memory // LIST_MEMORY_DIVISOR)
         )
         self.connection, self.address_changes = (
-            Single(scheduler, lambda: config.discovery, "discovery", budget, make_stream),
+            PersistentConnection(
+                scheduler, lambda: config.discovery, "discovery", budget, make_stream
+            ),
             0,
         )
 
@@ -159,7 +161,7 @@
                 try:
                     while True:
                         self._watch_once()
-                except (Broken, Late, http.MalformedMessage, ValueError):
+                except (ConnectionBroken, TimedOut, http.MalformedMessage, ValueError):
                     self.connection.close()
         finally:
             self.connection.close()
@@ -183,7 +185,7 @@
                 # no watch while what it misses counts as told. Each waits its whole time, so nobody is pressed by this.
                 self.connection.close()
                 timeout = min(2 * timeout, MAX_WHOLE_LIST_TIMEOUT)
-            except Late:  # it never came up: once more at once
+            except TimedOut:  # it never came up: once more at once
                 self.connection.close()
                 if not may_retry:
                     raise
@@ -194,12 +196,12 @@
             scope = interface.ListScope.WHOLE if is_whole else interface.ListScope.UPDATE
             self.post(ev.HostListReceived(scope, hosts, version, source))
         if version == known_version and self.clock() - began < MIN_WATCH_INTERVAL:
-            self.scheduler.sleep(began + MIN_WATCH_INTERVAL)
+            self.scheduler.sleep_until(began + MIN_WATCH_INTERVAL)
 
     def _request_list(self, timeout):
         holds_answer = self.version is not None and self.has_answered
         until = self.clock() + (WATCH_HOLD + ANSWER_TIMEOUT if holds_answer else timeout)
-        stream = self.connection.get(self.clock() + self.config.connect_time_out)
+        stream = self.connection.get_stream(self.clock() + self.config.connect_time_out)
         target = "/registry/instances"  # the whole list, at once
         if self.version is not None:
             hold = WATCH_HOLD if self.has_answered else FIRST_WATCH_HOLD
@@ -208,7 +210,7 @@
         try:
             head = stream.read_response_head(until)
             body = stream.read_body(head, until)
-        except Late as error:
+        except TimedOut as error:
             raise ResponseTimeout() from error
         if head.status != 200:
             raise ValueError(f"status {head.status}")
--- a/molehill/http/host_responses.py
+++ b/molehill/http/host_responses.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 from typing import Optional
 
-from molehill.config import SECOND, ConfigError, nanos
+from molehill.config import SECOND, ConfigError, parse_nanoseconds
 from molehill.core import events as ev
 from molehill.core.permission import Refusal
 from molehill.interface import Result
@@ -87,7 +87,7 @@
 def retry_after(head) -> int:
     """The told wait in nanoseconds, whole or decimal seconds; 0 where none is told."""
     try:
-        wait = nanos(head.headers.get("retry-after", "0"), SECOND_DECIMALS)
+        wait = parse_nanoseconds(head.headers.get("retry-after", "0"), SECOND_DECIMALS)
     except ConfigError:
         return 0
     return max(0, min(wait, MAX_RETRY_AFTER))
--- a/molehill/http/hosts.py
+++ b/molehill/http/hosts.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 from typing import Optional
 
-from molehill.config import MS, OUTGOING, address
+from molehill.config import MS, RESERVED_OUTGOING, parse_address
 from molehill.core import events as ev
 from molehill.core.permission import Refusal
 from molehill.http import host_responses
@@ -13,7 +13,13 @@
 from molehill.http.stream import HttpStream
 from molehill.http.timed_out_calls import TimedOutCalls
 from molehill.interface import Result
-from molehill.runtime.stream import Broken, Late, LocalError, Short, connected
+from molehill.runtime.stream import (
+    ConnectionBroken,
+    LocalError,
+    NoDescriptor,
+    TimedOut,
+    connect_stream,
+)
 from molehill.runtime.trace import NO_TRACE, Step
 
 # looks at idle connections: an ended one gives its descriptor back soon
@@ -59,15 +65,15 @@
         self.is_handed_over, self.handed_over_calls = False, {}
         self.calls_in_flight, self.counts = 0, Counter()  # calls out; outcomes by name, for the log
         self.timed_out_calls = TimedOutCalls(scheduler, post, config.settings.max_calls)
-        budget.idlers["host"] = (
+        budget.idle_closers["host"] = (
             lambda: self.timed_out_calls.close_oldest() or self.idle_connections.close_oldest()
         )
-        scheduler.at(self.clock() + SWEEP_INTERVAL, self.sweep_idle)
+        scheduler.call_at(self.clock() + SWEEP_INTERVAL, self.sweep_idle)
 
     # Idle connections
 
     def sweep_idle(self) -> None:
-        self.scheduler.at(self.clock() + SWEEP_INTERVAL, self.sweep_idle)
+        self.scheduler.call_at(self.clock() + SWEEP_INTERVAL, self.sweep_idle)
         self.idle_connections.close_unusable()
 
     def close_idle_connections(self, host) -> None:
@@ -87,7 +93,7 @@
             stream, call = self.streams.get(number), running.call
             if (
                 not running.is_written
-                or not stream.open
+                or not stream.is_open
                 or not call.callbacks
                 or number in self.aborted
             ):
@@ -135,18 +141,18 @@
             call = call or ev.Call(
                 message["n"],
                 message["host"],
-                address(message["at"], "at"),
+                parse_address(message["at"], "at"),
                 message["bundle"],
                 [
                     ev.OutgoingCallback(callback_id, None, b"", until)
                     for callback_id, until in message["members"]
                 ],
             )
-        if not self.budget.take("host", OUTGOING):
+        if not self.budget.acquire("host", RESERVED_OUTGOING):
             sock.close()
             return False
         stream = HttpStream(self.scheduler, sock, "host", self.budget)
-        stream.refill(data)
+        stream.restore_unread(data)
         if message["k"] == "idle":
             self.idle_connections.put(message["host"], stream, message["since"])
             return True
@@ -232,14 +238,14 @@
             try:
                 if on_new_connection:
                     connect_deadline = min(until, started_at + self.config.connect_time_out)
-                    stream = connected(
+                    stream = connect_stream(
                         self.scheduler,
                         call.address,
                         "host",
                         self.budget,
                         HttpStream,
                         connect_deadline,
-                        OUTGOING,
+                        RESERVED_OUTGOING,
                     )
                     self.counts["connected"] += 1
                 self.streams[call.number], stream.idle_since, stream.parser.start_line_bytes = (
@@ -266,7 +272,7 @@
                 # More than the last answer, if no answer to this can have come. Danger: after a standstill in between, one can.
                 if (
                     not on_new_connection
-                    and stream.unread()
+                    and stream.has_unread()
                     and self.clock() < write_started_at + MIN_ANSWER_TIME
                 ):
                     stream.close()
@@ -275,20 +281,20 @@
                     )
                     return None
                 return stream
-            except Short as error:  # this relay's own trouble: it tells nothing of the host
+            except NoDescriptor as error:  # this relay's own trouble: it tells nothing of the host
                 if stream is not None:
                     stream.close()
                 why = Refusal.NO_DESCRIPTOR
                 if isinstance(error, LocalError):
                     # Danger: asked for anew as fast as it fails, it takes the whole core.
                     why = Refusal.LOCAL_ERROR
-                    self.scheduler.sleep(min(until, self.clock() + LOCAL_ERROR_DELAY))
+                    self.scheduler.sleep_until(min(until, self.clock() + LOCAL_ERROR_DELAY))
                 self._report_same_end(call, started_at, call.callbacks, not_sent_end(why))
                 return None
-            except (Broken, Late) as error:
+            except (ConnectionBroken, TimedOut) as error:
                 if stream is not None:
                     stream.close()  # before the last byte: it never ran
-                if on_new_connection or isinstance(error, Late):
+                if on_new_connection or isinstance(error, TimedOut):
                     break  # else a kept connection broke: once more on a new one
         self._report_same_end(
             call, started_at, call.callbacks, ev.AttemptOutcome("", Result.NO_CONNECT)
@@ -370,9 +376,9 @@
             body = stream.read_body(
                 head, min(until, answered_at + REMAINDER_TIMEOUT) if outcome_known else until
             )
-        except (Broken, Late, http.MalformedMessage) as error:
+        except (ConnectionBroken, TimedOut, http.MalformedMessage) as error:
             start_received = stream.parser.start_line_bytes or stream.buffer.peek(64)
-            if isinstance(error, Late) and not outcome_known:
+            if isinstance(error, TimedOut) and not outcome_known:
                 end = ev.AttemptOutcome("", Result.TIMEOUT)
             elif (
                 not call.is_bundle
@@ -400,7 +406,7 @@
                 end,
                 answered_at if end.result is not Result.TIMEOUT else None,
             )
-        if head.keep_alive and self.idle_connections.max_idle_time > 0 and stream.quiet():
+        if head.keep_alive and self.idle_connections.max_idle_time > 0 and stream.is_quiet():
             stream.parser.raw_head = b""
             self.idle_connections.put(call.host, stream, self.clock())
         else:
--- a/molehill/http/idle_connections.py
+++ b/molehill/http/idle_connections.py
@@ -32,7 +32,7 @@
 
     def is_unusable(self, stream: HttpStream) -> bool:
         """Whether it is too old, or the host has ended it or sent what nobody asked for."""
-        return stream.idle_since <= self.clock() - self.max_idle_time or not stream.quiet()
+        return stream.idle_since <= self.clock() - self.max_idle_time or not stream.is_quiet()
 
     def close_unusable(self) -> None:
         for host, streams in list(self.items()):
@@ -59,7 +59,7 @@
         """Rows (message, body, socket) for the next process; none is left here."""
         rows = []
         for host, streams in self.items():
-            for stream in [stream for stream in streams if stream.quiet()]:
+            for stream in [stream for stream in streams if stream.is_quiet()]:
                 since = stream.idle_since
                 sock, data = stream.detach()
                 rows.append(({"k": "idle", "host": host, "since": since}, data, sock))
--- a/molehill/http/notices.py
+++ b/molehill/http/notices.py
@@ -6,7 +6,7 @@
 from molehill.core import events as ev
 from molehill.http import parser as http
 from molehill.http.stream import HttpStream
-from molehill.runtime.stream import Broken, Late, Single
+from molehill.runtime.stream import ConnectionBroken, PersistentConnection, TimedOut
 from molehill.runtime.trace import NO_TRACE, Step
 
 # notices in one request: under 64 KiB with the longest ids, 1,024 characters
@@ -20,7 +20,7 @@
 MAX_IDLE_TIME = 2000 * MS  # a connection that stood longer is not used again
 
 
-class UnexpectedStatus(Broken):
+class UnexpectedStatus(ConnectionBroken):
     """Answered, but not by 204."""
 
 
@@ -33,7 +33,9 @@
         # when the notices that wait for their answer were begun; `was_cut_short`: cut short for a new one
         self.sent_at, self.was_cut_short = 0, False
         self.trace = NO_TRACE
-        self.connection = Single(scheduler, lambda: config.discovery, "notices", budget, HttpStream)
+        self.connection = PersistentConnection(
+            scheduler, lambda: config.discovery, "notices", budget, HttpStream
+        )
 
     def send_notice(self, effect) -> None:
         """Sends it, at its time; told again with an earlier time, it goes then."""
@@ -41,7 +43,7 @@
             return
         if effect.not_before > self.clock():
             self.scheduled[effect.id] = effect
-            self.scheduler.at(effect.not_before, self._send_scheduled, effect)
+            self.scheduler.call_at(effect.not_before, self._send_scheduled, effect)
         else:
             self.scheduled.pop(effect.id, None)
             self._enqueue(effect)
@@ -54,12 +56,12 @@
     def _enqueue(self, effect) -> None:
         self.unanswered[effect.id] = effect
         if self.task is None:
-            self.task = self.scheduler.spawn_kept(self._send_all)
+            self.task = self.scheduler.spawn_supervised(self._send_all)
         # danger: a new one shall not be late for what became of others
         elif self.is_backing_off:
-            self.scheduler.at(self.failed_at + RETRY_DELAY, self._retry_now)
+            self.scheduler.call_at(self.failed_at + RETRY_DELAY, self._retry_now)
         else:
-            self.scheduler.at(self.sent_at + FIRST_TIMEOUT, self._cut_wait_short, self.sent_at)
+            self.scheduler.call_at(self.sent_at + FIRST_TIMEOUT, self._cut_wait_short, self.sent_at)
 
     def _retry_now(self) -> None:
         if self.is_backing_off and self.clock() >= self.failed_at + RETRY_DELAY:
@@ -107,7 +109,7 @@
             self.sent_at = self.clock()
             try:
                 self._send_batch(batch, self.sent_at + timeout)
-            except (Broken, Late, http.MalformedMessage) as error:
+            except (ConnectionBroken, TimedOut, http.MalformedMessage) as error:
                 self.connection.close()
                 failures += 1
                 # one that can't be read shall not hold up the others
@@ -119,7 +121,7 @@
                 was_cut_short, self.was_cut_short = self.was_cut_short, False
                 if failures > 1 and not was_cut_short:
                     self.is_backing_off, self.failed_at = True, self.clock()
-                    self.scheduler.sleep(
+                    self.scheduler.sleep_until(
                         self.failed_at + min(RETRY_DELAY << min(failures, 8), MAX_TIMEOUT) // 2
                     )
                     self.is_backing_off = False
@@ -134,7 +136,7 @@
     def _send_batch(self, batch, until) -> None:
         if self.clock() - self.answered_at > MAX_IDLE_TIME:
             self.connection.close()
-        stream = self.connection.get(until)
+        stream = self.connection.get_stream(until)
         rows = []
         for notice in batch:
             row = {"ref": notice.id, "result": "bounced" if notice.rejected else "dead"}
--- a/molehill/http/stream.py
+++ b/molehill/http/stream.py
@@ -1,7 +1,7 @@
 """A connection that speaks HTTP/1.1: heads, interim answers and bodies off its one buffer."""
 
 from molehill.http.parser import MAX_BODY_BYTES, MAX_HEAD_BYTES, MalformedMessage, Parser
-from molehill.runtime.stream import Broken, Stream
+from molehill.runtime.stream import ConnectionBroken, Stream
 
 HEAD_ALLOWANCE = MAX_HEAD_BYTES + 1024  # bytes of one message beside its body, and some of the next
 
@@ -26,8 +26,8 @@
             self.read(until)
         return head
 
-    def unread_message(self) -> bytes:
-        return self.parser.raw_head + super().unread_message()
+    def unread_bytes(self) -> bytes:
+        return self.parser.raw_head + super().unread_bytes()
 
     MAX_INTERIM_RESPONSES = 16  # answers of 1xx before the real one; more is no answer
 
@@ -56,6 +56,6 @@
         try:
             while len(self.buffer) <= self.parser.max_body_bytes:
                 self.read(until)
-        except Broken:
+        except ConnectionBroken:
             return self.buffer.take(len(self.buffer))
-        raise Broken("the body is too long")
+        raise ConnectionBroken("the body is too long")
--- a/molehill/http/timed_out_calls.py
+++ b/molehill/http/timed_out_calls.py
@@ -9,7 +9,7 @@
 
 from molehill.core import events as ev
 from molehill.http.stream import HttpStream
-from molehill.runtime.stream import Broken, Late
+from molehill.runtime.stream import ConnectionBroken, TimedOut
 from molehill.runtime.trace import NO_TRACE, Step
 
 
@@ -37,10 +37,10 @@
         host_ended = True
         try:
             stream.read(until)
-        except Late:
+        except TimedOut:
             host_ended = False
-        except Broken:
-            host_ended = stream.open  # else closed here, to make room
+        except ConnectionBroken:
+            host_ended = stream.is_open  # else closed here, to make room
         finally:
             stream.close()
             self.streams.pop(number, None)
--- a/molehill/log_clock.py
+++ b/molehill/log_clock.py
@@ -85,7 +85,7 @@
             latest = max(int(written_at[1]), latest or 0)
         if line.startswith(CLOCK_LINE_PREFIX):
             clock_record = json.loads(line)
-    now, wall = machine.clock(), machine.wall()
+    now, wall = machine.clock(), machine.wall_clock()
     if clock_record is None:
         epoch = wall - now if latest is None else max(wall, latest) - now
         return LogClock(epoch, EpochSource.NEW_LOG if is_empty else EpochSource.UNKNOWN)
--- a/molehill/membership/wiring.py
+++ b/molehill/membership/wiring.py
@@ -20,7 +20,15 @@
 )
 from molehill.membership.wire import MOST, Unread, Wire
 from molehill.runtime.scheduler import READ
-from molehill.runtime.stream import Broken, Budget, Late, Short, Stream, connected, listening
+from molehill.runtime.stream import (
+    ConnectionBroken,
+    DescriptorBudget,
+    NoDescriptor,
+    Stream,
+    TimedOut,
+    connect_stream,
+    open_listener,
+)
 from molehill.store import write_all
 
 # datagrams read before others have their turn: a flood does not hold callbacks up
@@ -46,7 +54,7 @@
         )
         self.wire = Wire(self.config.name, self.config.keys)
         self.seats, self.allowance, self.filled = (
-            Budget(SEATS),
+            DescriptorBudget(SEATS),
             self.config.bytes_per_s * BURST,
             self.clock(),
         )
@@ -57,7 +65,7 @@
         )
         number = inherited["me"][1] if inherited else self.next_number(config.state)
         self.member = Member(
-            Settings(**self.config.spans),
+            Settings(**self.config.durations),
             config.name,
             self.config.listen,
             number,
@@ -89,7 +97,7 @@
         waits = config.listen != self.config.listen or config.name != self.config.name
         config.listen, config.name = self.config.listen, self.config.name
         self.config, self.wire = config, Wire(config.name, config.keys)
-        self.member.set, self.member.seeds = Settings(**config.spans), dict(config.seeds)
+        self.member.set, self.member.seeds = Settings(**config.durations), dict(config.seeds)
         self.log.info("fleet taken", seeds=len(config.seeds), at_next_start=waits)
 
     def next_number(self, folder: str) -> int:
@@ -101,9 +109,9 @@
                 before = int(disk.read(path))
             except (OSError, ValueError):
                 pass  # as if it were lost
-        number = max(before + 1, self.scheduler.machine.wall() // MS)
+        number = max(before + 1, self.scheduler.machine.wall_clock() // MS)
         try:
-            fd = disk.open(path + ".new", anew=True)
+            fd = disk.open(path + ".new", truncate=True)
             try:
                 if not write_all(disk, fd, b"%d" % number):
                     raise OSError("short write")
@@ -122,7 +130,7 @@
         """
         self.era += 1
         era = self.era
-        self.scheduler.spawn_kept(lambda: self.live(era))
+        self.scheduler.spawn_supervised(lambda: self.live(era))
 
     def live(self, era: int) -> None:
         machine = self.scheduler.machine
@@ -132,13 +140,13 @@
                 sock = machine.udp_socket(self.config.listen)
                 sock.bind(self.config.listen)
                 sock.setblocking(False)
-                self.listener, self.sock = listening(machine, self.config.listen), sock
+                self.listener, self.sock = open_listener(machine, self.config.listen), sock
             except OSError as error:
                 if sock is not None:
                     sock.close()
                 if error.errno not in (errno.EADDRINUSE, errno.EMFILE, errno.ENFILE):
                     self.log.error("no membership", error=str(error))
-                self.scheduler.sleep(self.clock() + PAUSE)
+                self.scheduler.sleep_until(self.clock() + PAUSE)
         if era != self.era:
             return
         self.log.info(
@@ -147,13 +155,13 @@
             seeds=len(self.config.seeds),
             listen="%s:%d" % self.config.listen,
         )
-        self.scheduler.spawn_kept(lambda: self.hear(era))
-        self.scheduler.spawn_kept(lambda: self.accept(era))
+        self.scheduler.spawn_supervised(lambda: self.hear(era))
+        self.scheduler.spawn_supervised(lambda: self.accept(era))
         while era == self.era:
             self.member.tick(self.clock())
             self.carry()
             now = self.clock()
-            self.scheduler.sleep(
+            self.scheduler.sleep_until(
                 min(max(self.member.due(), now + MS), now + self.member.set.stalled // 4)
             )
 
@@ -167,11 +175,11 @@
                     break
                 except OSError:
                     # an ICMP answer, or a machine short of memory
-                    self.scheduler.sleep(self.clock() + PAUSE)
+                    self.scheduler.sleep_until(self.clock() + PAUSE)
                     break
                 self.came(data, source)
             else:
-                self.scheduler.pause()
+                self.scheduler.yield_now()
 
     def came(self, data: bytes, source):
         """One message, from a datagram or a page; what it was, or None."""
@@ -241,8 +249,8 @@
             self.clock() + WITHIN,
         )
         try:
-            stream = connected(self.scheduler, address, "stream", self.seats, self.make, until)
-        except (Broken, Late, Short):
+            stream = connect_stream(self.scheduler, address, "stream", self.seats, self.make, until)
+        except (ConnectionBroken, TimedOut, NoDescriptor):
             return
         self.exchange(stream, until, first=True)
 
@@ -258,9 +266,9 @@
                 self.scheduler.wait(self.listener.fileno(), READ)
                 continue
             except OSError:
-                self.scheduler.sleep(self.clock() + PAUSE)
+                self.scheduler.sleep_until(self.clock() + PAUSE)
                 continue
-            if not self.seats.take("stream"):
+            if not self.seats.acquire("stream"):
                 sock.close()
                 continue
             self.scheduler.spawn(
@@ -279,7 +287,7 @@
             self.hear_all(stream, until)
             if not first:
                 self.say_all(stream, until)
-        except (Broken, Late, OSError):
+        except (ConnectionBroken, TimedOut, OSError):
             pass
         finally:
             stream.close()
@@ -295,7 +303,7 @@
             if not size:
                 return
             if size > MOST or self.came(self.take(stream, size, until), None) is None:
-                raise Broken("no page")
+                raise ConnectionBroken("no page")
 
     @staticmethod
     def take(stream, size: int, until: int) -> bytes:
@@ -366,6 +374,6 @@
         self.era += 1
         for sock in (self.sock, self.listener):
             if sock is not None:
-                self.scheduler.cut(sock.fileno())
+                self.scheduler.cancel_wait(sock.fileno())
                 sock.close()
         self.sock = self.listener = None
--- a/molehill/relay.py
+++ b/molehill/relay.py
@@ -18,23 +18,23 @@
 from molehill.log_clock import EpochSource
 from molehill.runtime.engine import Engine
 from molehill.runtime.scheduler import READ
-from molehill.runtime.stream import Budget
+from molehill.runtime.stream import DescriptorBudget
 from molehill.runtime.trace import NO_TRACE, NoTrace, Trace
 from molehill.shutdown import ENDED, SERVING, Shutdown
-from molehill.startup import Start, log_room
+from molehill.startup import Startup, log_limits
 
 
 class Process:
-    def __init__(self, config, machine, sink, load_again, start=None):
+    def __init__(self, config, machine, sink, load_config, startup=None):
         """`load_again(config)` reads the configuration anew, on SIGHUP, in place of that one; it raises ConfigError."""
-        self.config, self.sink, self.load_again = config, sink, load_again
-        self.start = start = start or Start(config, machine, sink)
-        if start.store is None:
-            start.open_log()
-        self.log, self.scheduler, self.lock, self.given, self.handover_server = (
-            start.log,
-            start.scheduler,
-            start.lock,
+        self.config, self.sink, self.load_config = config, sink, load_config
+        self.startup = startup = startup or Startup(config, machine, sink)
+        if startup.store is None:
+            startup.open_log()
+        self.log, self.scheduler, self.lock, self.handed_over, self.handover_server = (
+            startup.log,
+            startup.scheduler,
+            startup.lock,
             False,
             None,
         )
@@ -42,32 +42,34 @@
             "broken invariant", name=name, count=count, **{f"fact_{k}": v for k, v in facts.items()}
         )
         # it may have moved since this one's start
-        if start.estate is not None and "discovery" in start.estate.state:
-            config.discovery = configuration.address(start.estate.state["discovery"], "discovery")
-            config.discovery_in_file = start.estate.state.get("discovery_in_file")
+        if startup.handover is not None and "discovery" in startup.handover.state:
+            config.discovery = configuration.parse_address(
+                startup.handover.state["discovery"], "discovery"
+            )
+            config.discovery_in_file = startup.handover.state.get("discovery_in_file")
         self.shutdown = Shutdown(self)
-        self.budget = budget = Budget(config.sockets, {"client": config.client_sockets})
-        self.store, log_clock = start.store, start.log_clock
+        self.budget = budget = DescriptorBudget(config.sockets, {"client": config.client_sockets})
+        self.store, log_clock = startup.store, startup.log_clock
         self.core = Core(
             config.settings,
             config.seed,
             Dispatcher,
-            log_room(config)[1],
-            list(config.categories),
+            log_limits(config)[1],
+            list(config.callback_classes),
             config.connect_time_out,
         )
         count = self.store.replay(
             lambda record, body: self.core.load(log_clock.from_log(record), body),
             self.core.load_corrupt,
         )
-        spoilt = (
+        damaged = (
             self.store.truncated_bytes
             or self.store.unusable_records
             or self.store.corrupt_chunks
             or log_clock.source is EpochSource.UNKNOWN
         )
-        say = self.log.warning if spoilt else self.log.info
-        say(
+        log_method = self.log.warning if damaged else self.log.info
+        log_method(
             "log read",
             records=count,
             held=len(self.core.callbacks),
@@ -79,17 +81,17 @@
         self.engine = engine = Engine(
             self.scheduler, self.core, self.store, self.log, config.period, log_clock
         )
-        self.clients = engine.clients = Clients(self.scheduler, config, budget, engine.post)
+        self.clients = engine.clients = Clients(self.scheduler, config, budget, engine.post_event)
         self.hosts = engine.hosts = Hosts(
-            self.scheduler, config, budget, engine.post, self.core.refusal, self.core.metrics
+            self.scheduler, config, budget, engine.post_event, self.core.refusal, self.core.metrics
         )
-        self.notices = engine.notices = Notices(self.scheduler, config, budget, engine.post)
+        self.notices = engine.notices = Notices(self.scheduler, config, budget, engine.post_event)
         self.clients.on_rejected = self.core.count_rejected
         trace = self.open_trace()
         engine.trace = self.clients.trace = self.hosts.trace = self.notices.trace = trace
         self.hosts.timed_out_calls.trace = trace
         self.discovery = engine.discovery = Discovery(
-            self.scheduler, config, budget, engine.post, self.core.received_list
+            self.scheduler, config, budget, engine.post_event, self.core.received_list
         )
         self.membership = None
         if config.fleet is not None:
@@ -100,59 +102,63 @@
                 raise configuration.ConfigError(
                     f"fleet: {error}; pip install molehill[fleet]"
                 ) from None
-            inherited = start.estate and start.estate.state.get("member")
+            inherited = startup.handover and startup.handover.state.get("member")
             self.membership = Membership(self.scheduler, config, self.log, inherited)
-        start.process = self
+        startup.process = self
 
-    def begin(self, signals) -> None:
+    def begin_serving(self, signals) -> None:
         """Takes up what is owed and gets ready to serve; `signals` is a socket that does not block."""
         self.signals = signals
-        self.scheduler.spawn_kept(self.on_signals)
-        estate, unread = self.start.estate, {}
-        if estate is None:
+        self.scheduler.spawn_supervised(self.read_signals)
+        handover, begin_options = self.startup.handover, {}
+        if handover is None:
             self.discovery.restore_list()
         else:
             self.discovery.restore_list(
-                {"endpoints": estate.hosts, "index": estate.state["version"] or 0, "snapshot": True}
+                {
+                    "endpoints": handover.hosts,
+                    "index": handover.state["version"] or 0,
+                    "snapshot": True,
+                }
             )
-            self.engine.post(upgrade.inherit(self, estate))
-            unread["read_delay"] = self.scheduler.clock() - estate.state["began"]
-            self.start.estate = None
-            self.catch_up()
+            self.engine.post_event(upgrade.accept_handover(self, handover))
+            begin_options["read_delay"] = self.scheduler.clock() - handover.state["began"]
+            self.startup.handover = None
+            self.reload_after_handover()
         if self.membership is not None:
             self.membership.begin()
-            if self.start.admin is not None:
-                self.start.admin.pages["/fleet"] = lambda: (200, self.membership.view())
-        self.engine.post(ev.Start())
-        self.engine.keep_flushing(self.sink)
-        self.engine.keep_counting()
-        self.clients.start_serving(**unread)
+            if self.startup.admin is not None:
+                self.startup.admin.pages["/fleet"] = lambda: (200, self.membership.view())
+        self.engine.post_event(ev.Startup())
+        self.engine.flush_periodically(self.sink)
+        self.engine.log_counts_periodically()
+        self.clients.start_serving(**begin_options)
         if self.config.admin is not None:
             self.handover_server = upgrade.HandoverServer(self)
-        for number in self.start.seen:
-            self.on_signal(number)
+        for signal_number in self.startup.pending_signals:
+            self.handle_signal(signal_number)
         self.log.info(
             "ready",
-            taken_over=estate is not None,
+            taken_over=handover is not None,
             listen="%s:%d" % self.config.listen,
             discovery="%s:%d" % self.config.discovery,
         )
 
     def open_trace(self) -> Trace | NoTrace:
         """The file of each callback's steps, where one is configured and can be opened."""
-        wanted = self.config.trace
-        if wanted is None:
+        trace_file = self.config.trace
+        if trace_file is None:
             return NO_TRACE
         try:
-            return Trace(self.scheduler.machine, wanted.path, wanted.room)
+            return Trace(self.scheduler.machine, trace_file.path, trace_file.max_bytes)
         except OSError as error:
-            self.log.error("no trace", file=wanted.path, error=str(error))
+            self.log.error("no trace", file=trace_file.path, error=str(error))
             return NO_TRACE
 
     def run(self) -> None:
         """Serves until it was told to end."""
         self.scheduler.run()
-        if not self.given:
+        if not self.handed_over:
             self.store.close()
         self.log.info(
             "ended",
@@ -162,26 +168,26 @@
         )
         self.sink.flush()
 
-    def on_signals(self) -> None:
+    def read_signals(self) -> None:
         """One after another; what comes before the loop turns waits in the socket pair."""
         while True:
             self.scheduler.wait(self.signals.fileno(), READ)
-            for number in self.signals.recv(64):
-                self.on_signal(number)
+            for signal_number in self.signals.recv(64):
+                self.handle_signal(signal_number)
 
-    def on_signal(self, number) -> None:
-        if number == signal.SIGHUP and not self.given:
-            self.reload()
-        elif number != signal.SIGHUP:
+    def handle_signal(self, signal_number) -> None:
+        if signal_number == signal.SIGHUP and not self.handed_over:
+            self.reload_configuration()
+        elif signal_number != signal.SIGHUP:
             self.shutdown.begin()
 
-    def reload(self) -> None:
+    def reload_configuration(self) -> None:
         """SIGHUP: the file is read and checked whole, then taken whole or not at all.
 
         What does not count at once counts from the next start on.
         """
         try:
-            new = self.load_again(self.config)
+            new = self.load_config(self.config)
         except configuration.ConfigError as error:
             self.core.metrics.cfg_invalid += 1
             self.log.error("configuration not taken", error=str(error))
@@ -191,93 +197,96 @@
             "configuration taken",
             discovery="%s:%d" % new.discovery,
             moved=new.discovery != self.config.discovery,
-            classes=sorted(new.categories),
-            at_next_start=configuration.waiting(self.config, new),
+            classes=sorted(new.callback_classes),
+            at_next_start=configuration.changes_at_next_start(self.config, new),
         )
-        self.take(new)
+        self.apply_configuration(new)
 
-    def take(self, new) -> None:
+    def apply_configuration(self, new) -> None:
         """New settings and a new address of discovery count at once, the latter for the watch and for all notices."""
         moved = new.discovery != self.config.discovery
         if (
             moved
             or new.settings != self.config.settings
-            or new.categories != self.config.categories
+            or new.callback_classes != self.config.callback_classes
         ):
-            self.retune(new)
+            self.apply_settings(new)
         self.config.discovery_in_file = new.discovery_in_file
         if moved:
             self.notices.change_address()
             self.discovery.change_address()
 
-    def retune(self, new) -> None:
-        names = list(new.categories)
-        configuration.retake(self.config, new)
-        self.engine.post(ev.SettingsChanged(self.config.settings, names))
-        self.config.settings, self.config.categories = self.core.settings, self.core.classes.numbers
+    def apply_settings(self, new) -> None:
+        names = list(new.callback_classes)
+        configuration.apply_reload(self.config, new)
+        self.engine.post_event(ev.SettingsChanged(self.config.settings, names))
+        self.config.settings, self.config.callback_classes = (
+            self.core.settings,
+            self.core.classes.numbers,
+        )
         if self.membership is not None and new.fleet is not None:
             self.membership.retake(new.fleet)
 
     # An upgrade: molehill/upgrade.py has its order
 
-    def catch_up(self) -> None:
+    def reload_after_handover(self) -> None:
         """Danger: the old process was told of a new file after this one had read it, and nobody tells this one."""
         try:
-            new = self.load_again(self.config)
+            new = self.load_config(self.config)
         except configuration.ConfigError as error:
             self.log.error("configuration not taken", error=str(error))
             return
         if new.discovery_in_file == self.config.discovery_in_file:
             # the old one's, which may have moved by another file or a variable
             new.discovery = self.config.discovery
-        self.take(new)
+        self.apply_configuration(new)
 
-    def figures(self) -> str:
+    def metrics_text(self) -> str:
         return self.core.metrics.render() + (self.membership.figures() if self.membership else "")
 
     def can_serve(self) -> bool:
-        return self.clients.can_serve() and not self.given
+        return self.clients.can_serve() and not self.handed_over
 
-    def hold(self) -> None:
+    def pause_intake(self) -> None:
         """Finishes what has begun, and begins nothing."""
-        self.engine.post(ev.PauseCalls(True))
+        self.engine.post_event(ev.PauseCalls(True))
         self.clients.pause_requests()
 
-    def calm(self) -> bool:
+    def is_drained(self) -> bool:
         return (
             self.clients.is_quiescent()
             and self.hosts.is_quiescent()
             and self.notices.is_quiescent()
         )
 
-    def give(self, began: int):
-        self.engine.post(ev.Step())  # what was read is decided, and in the log
-        self.engine.freeze()
+    def prepare_handover(self, started_at: int):
+        self.engine.post_event(ev.Step())  # what was read is decided, and in the log
+        self.engine.suspend()
         if self.membership is not None:
             self.membership.close()  # the next process is the same member at the same address
-        return upgrade.rows_of(self, began)
+        return upgrade.handover_rows(self, started_at)
 
-    def go_on(self, rows, began: int) -> None:
+    def abort_handover(self, rows, started_at: int) -> None:
         """The next process is gone: what was to pass is taken back, and all goes on. Danger: a connection that is closed here with
         an answer unread on it makes a callback that was delivered run once more."""
-        self.scheduler.pause()  # the tasks of what passed have ended by then
+        self.scheduler.yield_now()  # the tasks of what passed have ended by then
         self.hosts.take_back([row for row in rows if row[0]["k"] in ("call", "idle")])
         self.notices.take_back()
-        self.engine.thaw()
+        self.engine.resume()
         if self.membership is not None:
             self.membership.begin()
-        self.engine.post(ev.PauseCalls(False))
+        self.engine.post_event(ev.PauseCalls(False))
         self.clients.take_back(
-            [row for row in rows if row[0]["k"] == "client"], self.scheduler.clock() - began
+            [row for row in rows if row[0]["k"] == "client"], self.scheduler.clock() - started_at
         )
 
-    def gave(self) -> None:
+    def finish_handover(self) -> None:
         """The next process has it all; this one has nothing left to do but to end."""
-        self.given, self.clients.is_ready = True, False
+        self.handed_over, self.clients.is_ready = True, False
         self.store.close()
         self.scheduler.machine.close(self.lock)
         self.clients.close_listener()
         self.discovery.connection.close()
         self.core.metrics.open_requests = 0
         if self.shutdown.state is not SERVING:
-            self.shutdown.move(ENDED)
+            self.shutdown.change_state(ENDED)
--- a/molehill/runtime/buffer.py
+++ b/molehill/runtime/buffer.py
@@ -2,15 +2,20 @@
 
 
 class Buffer:
-    START = 4096  # holds the usual message whole
+    INITIAL_SIZE = 4096  # holds the usual message whole
 
-    def __init__(self, most: int):
-        self.most, self.data, self.start, self.end = most, bytearray(min(self.START, most)), 0, 0
+    def __init__(self, max_size: int):
+        self.max_size, self.data, self.start, self.end = (
+            max_size,
+            bytearray(min(self.INITIAL_SIZE, max_size)),
+            0,
+            0,
+        )
 
     def __len__(self):
         return self.end - self.start
 
-    def space(self) -> memoryview:
+    def free_space(self) -> memoryview:
         """Room to read into; empty only when the bound is reached."""
         if self.end == len(self.data):
             if self.start:
@@ -18,16 +23,16 @@
                 self.data[:size] = self.data[self.start : self.end]
                 self.start, self.end = 0, size
             if len(self) > len(self.data) // 2:
-                self.data.extend(bytes(min(len(self.data), self.most - len(self.data))))
+                self.data.extend(bytes(min(len(self.data), self.max_size - len(self.data))))
         return memoryview(self.data)[self.end :]
 
-    def filled(self, count: int) -> None:
+    def mark_filled(self, count: int) -> None:
         self.end += count
 
-    def find(self, mark: bytes, since: int = 0) -> int:
-        """Where `mark` stands, counted from what is unread, or -1."""
-        at = self.data.find(mark, self.start + since, self.end)
-        return at - self.start if at >= 0 else -1
+    def find(self, pattern: bytes, offset: int = 0) -> int:
+        """Where `pattern` stands, counted from what is unread, or -1."""
+        position = self.data.find(pattern, self.start + offset, self.end)
+        return position - self.start if position >= 0 else -1
 
     def peek(self, count: int) -> bytes:
         return bytes(self.data[self.start : min(self.end, self.start + count)])
--- a/molehill/runtime/kernel.py
+++ b/molehill/runtime/kernel.py
@@ -11,19 +11,19 @@
 import time
 
 # one text from boot to boot: as long the monotonic clock runs on
-BOOT_ID = "/proc/sys/kernel/random/boot_id"
+BOOT_ID_PATH = "/proc/sys/kernel/random/boot_id"
 
 
 def read_boot_id() -> str:
     """Tells this boot of the machine from others; empty where the kernel does not say."""
     try:
-        with open(BOOT_ID, encoding="ascii") as file:
+        with open(BOOT_ID_PATH, encoding="ascii") as file:
             return file.read().strip()
     except (OSError, ValueError):
         return ""
 
 
-NO_LOCKS = (errno.ENOSYS, errno.EOPNOTSUPP, errno.EINVAL, errno.ENOLCK)
+UNSUPPORTED_LOCK_ERRNOS = (errno.ENOSYS, errno.EOPNOTSUPP, errno.EINVAL, errno.ENOLCK)
 
 
 class Disk:
@@ -59,18 +59,18 @@
         os.ftruncate(fd, size)
 
     @staticmethod
-    def seek(fd: int, at: int) -> None:
-        os.lseek(fd, at, os.SEEK_SET)
+    def seek(fd: int, offset: int) -> None:
+        os.lseek(fd, offset, os.SEEK_SET)
 
     @staticmethod
-    def open(path: str, anew: bool = False) -> int:
-        """A descriptor to read and write by; `anew`: empty, whatever was there."""
+    def open(path: str, truncate: bool = False) -> int:
+        """A descriptor to read and write by; `truncate`: empty, whatever was there."""
         return os.open(
-            path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | (os.O_TRUNC if anew else 0), 0o600
+            path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | (os.O_TRUNC if truncate else 0), 0o600
         )
 
     @staticmethod
-    def is_file(path: str, fd: int) -> bool:
+    def is_same_file(path: str, fd: int) -> bool:
         """Whether that path is the open file."""
         return os.path.samestat(os.stat(path), os.fstat(fd))
 
@@ -91,7 +91,7 @@
             if error.errno in (errno.EWOULDBLOCK, errno.EACCES):
                 os.close(fd)
                 return None
-            if error.errno not in NO_LOCKS:
+            if error.errno not in UNSUPPORTED_LOCK_ERRNOS:
                 os.close(fd)
                 raise
             # a file system without locks: nobody else can be told from here, as ever before
@@ -99,11 +99,11 @@
 
 
 class Kernel:
-    """`clock()`: nanoseconds of the monotonic clock, by which all spans go; `wall()`: Unix time in nanoseconds, which may be
+    """`clock()`: nanoseconds of the monotonic clock, by which all spans go; `wall_clock()`: Unix time in nanoseconds, which may be
     stepped at any moment: for what is shown, and carried over a reboot; `boot_id`: changes when the monotonic clock begins anew."""
 
-    def __init__(self, clock=None, wall=None):
-        self.clock, self.wall = clock or time.monotonic_ns, wall or time.time_ns
+    def __init__(self, clock=None, wall_clock=None):
+        self.clock, self.wall_clock = clock or time.monotonic_ns, wall_clock or time.time_ns
         self.boot_id, self.disk = read_boot_id(), Disk()
 
     @staticmethod
@@ -113,26 +113,26 @@
     close = staticmethod(os.close)  # of a descriptor by its number
 
     # in the folder that lasts: where the next process finds this one
-    MEETING = "upgrade"
+    UPGRADE_SOCKET = "upgrade"
 
-    def meet(self, folder: str) -> socket.socket:
+    def listen_for_successor(self, folder: str) -> socket.socket:
         """A listener there for the next process of this relay; only for the owner of the folder's lock."""
-        path = os.path.join(folder, self.MEETING)
+        path = os.path.join(folder, self.UPGRADE_SOCKET)
         if os.path.lexists(path):
             os.unlink(path)
-        return self._unix(folder, lambda sock, at: (sock.bind(at), sock.listen(1)))
+        return self._unix_socket(folder, lambda sock, address: (sock.bind(address), sock.listen(1)))
 
-    def reach(self, folder: str) -> socket.socket:
+    def connect_to_predecessor(self, folder: str) -> socket.socket:
         """A connection to the process that serves now; raises OSError."""
-        return self._unix(folder, lambda sock, at: sock.connect(at))
+        return self._unix_socket(folder, lambda sock, address: sock.connect(address))
 
-    def _unix(self, folder, work) -> socket.socket:
+    def _unix_socket(self, folder, bind_or_connect) -> socket.socket:
         # by way of the folder's descriptor: a path of its own may be longer than a Unix address holds
         fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
             sock.setblocking(False)
-            work(sock, f"/proc/self/fd/{fd}/{self.MEETING}")
+            bind_or_connect(sock, f"/proc/self/fd/{fd}/{self.UPGRADE_SOCKET}")
         except OSError:
             sock.close()
             raise
@@ -141,7 +141,7 @@
         return sock
 
     @staticmethod
-    def adopt(fd: int) -> socket.socket:
+    def socket_from_descriptor(fd: int) -> socket.socket:
         """The socket that a passed descriptor is."""
         return socket.socket(fileno=fd)
 
--- a/molehill/runtime/line.py
+++ b/molehill/runtime/message_channel.py
@@ -3,26 +3,26 @@
 import json
 import socket
 
-from molehill.runtime.scheduler import CUT, READ, READY, WRITE
-from molehill.runtime.stream import Broken, Late
+from molehill.runtime.scheduler import CANCELLED, READ, READY, WRITE
+from molehill.runtime.stream import ConnectionBroken, TimedOut
 
 # of a message: a connection's whole buffer and some; less than a socket takes at once
-MOST = 160 * 1024
+MAX_MESSAGE_BYTES = 160 * 1024
 
 
-class Line:
+class MessageChannel:
     def __init__(self, scheduler, sock):
         sock.setblocking(False)
         self.scheduler, self.sock = scheduler, sock
 
-    def _wait(self, mask, until) -> None:
-        came = self.scheduler.wait(self.sock.fileno(), mask, until)
-        if came == CUT:
-            raise Broken("cut")
-        if came != READY:
-            raise Late()
+    def _wait(self, mask, deadline) -> None:
+        outcome = self.scheduler.wait(self.sock.fileno(), mask, deadline)
+        if outcome == CANCELLED:
+            raise ConnectionBroken("cut")
+        if outcome != READY:
+            raise TimedOut()
 
-    def send(self, message: dict, until: int, body: bytes = b"", fd=None) -> None:
+    def send(self, message: dict, deadline: int, body: bytes = b"", fd=None) -> None:
         """Sends it whole, a descriptor with it; raises Broken or Late."""
         data = json.dumps(message, separators=(",", ":")).encode("ascii") + b"\n" + body
         while True:
@@ -33,23 +33,23 @@
                     socket.send_fds(self.sock, [data], [fd])
                 return
             except BlockingIOError:
-                self._wait(WRITE, until)
+                self._wait(WRITE, deadline)
             except OSError as error:
-                raise Broken(str(error)) from None
+                raise ConnectionBroken(str(error)) from None
 
-    def receive(self, until: int):
+    def receive(self, deadline: int):
         """The next message, its body, and its descriptor or None; raises Broken or Late."""
         while True:
             try:
-                data, fds, flags, _ = socket.recv_fds(self.sock, MOST, 4)
+                data, fds, flags, _ = socket.recv_fds(self.sock, MAX_MESSAGE_BYTES, 4)
                 break
             except BlockingIOError:
-                self._wait(READ, until)
+                self._wait(READ, deadline)
             except OSError as error:
-                raise Broken(str(error)) from None
-        line, _, body = data.partition(b"\n")
+                raise ConnectionBroken(str(error)) from None
+        header, _, body = data.partition(b"\n")
         try:
-            message = json.loads(line)
+            message = json.loads(header)
             if (
                 not isinstance(message, dict)
                 or len(fds) > 1
@@ -59,22 +59,22 @@
         except ValueError:
             for fd in fds:
                 self.scheduler.machine.close(fd)
-            raise Broken("no message" if data else "ended") from None
+            raise ConnectionBroken("no message" if data else "ended") from None
         return message, body, fds[0] if fds else None
 
-    def last_words(self) -> list[dict]:
+    def drain_after_shutdown(self) -> list[dict]:
         """Ends the line for both sides, then gives what had come on it before: nothing can come after that."""
-        found = []
+        messages = []
         try:
             self.sock.shutdown(socket.SHUT_RDWR)
             while True:
                 message, _, fd = self.receive(0)
-                found.append(message)
+                messages.append(message)
                 if fd is not None:
                     self.scheduler.machine.close(fd)
-        except (OSError, Broken, Late):
-            return found
+        except (OSError, ConnectionBroken, TimedOut):
+            return messages
 
     def close(self) -> None:
-        self.scheduler.cut(self.sock.fileno())
+        self.scheduler.cancel_wait(self.sock.fileno())
         self.sock.close()
--- a/molehill/runtime/trace.py
+++ b/molehill/runtime/trace.py
@@ -31,7 +31,7 @@
 
     is_on = False
 
-    def record(self, step: Step, ident: Optional[str], **facts: Any) -> None:
+    def record(self, step: Step, callback_id: Optional[str], **facts: Any) -> None:
         """Does nothing."""
 
 
@@ -40,34 +40,34 @@
 
     is_on = True
 
-    def __init__(self, machine, path: str, room: int):
-        """`machine` as of molehill/runtime/kernel.py; `room`: bytes of the file and the one before it together."""
-        self.machine, self.path, self.most = machine, path, room // 2
+    def __init__(self, machine, path: str, max_bytes: int):
+        """`machine` as of molehill/runtime/kernel.py; `max_bytes`: bytes of the file and the one before it together."""
+        self.machine, self.path, self.max_file_bytes = machine, path, max_bytes // 2
         self.fd, self.size = -1, 0
-        self._open(anew=False)
+        self._open(truncate=False)
 
-    def _open(self, anew: bool) -> None:
+    def _open(self, truncate: bool) -> None:
         disk = self.machine.disk
-        self.fd = disk.open(self.path, anew=anew)
-        self.size = 0 if anew else len(disk.read(self.path))
+        self.fd = disk.open(self.path, truncate=truncate)
+        self.size = 0 if truncate else len(disk.read(self.path))
         disk.seek(self.fd, self.size)
 
-    def record(self, step: Step, ident: Optional[str], **facts: Any) -> None:
-        """One line; `ident`: the callback's, None for a step of a connection."""
-        row = {"at": self.machine.clock(), "step": step.value, "id": ident, **facts}
+    def record(self, step: Step, callback_id: Optional[str], **facts: Any) -> None:
+        """One line; `callback_id`: the callback's, None for a step of a connection."""
+        row = {"at": self.machine.clock(), "step": step.value, "id": callback_id, **facts}
         line = json.dumps(row, separators=(",", ":")).encode("ascii") + b"\n"
         try:
-            if self.size + len(line) > self.most:
-                self._begin_anew()
+            if self.size + len(line) > self.max_file_bytes:
+                self._rotate()
             self.size += self.machine.disk.write(self.fd, line)
         except OSError:
             return
 
-    def _begin_anew(self) -> None:
+    def _rotate(self) -> None:
         disk = self.machine.disk
         disk.rename(self.path, self.path + ".1")
         disk.close(self.fd)
-        self._open(anew=True)
+        self._open(truncate=True)
 
 
 NO_TRACE = NoTrace()
--- a/molehill/shutdown.py
+++ b/molehill/shutdown.py
@@ -1,9 +1,9 @@
 """How a relay ends once it was told to: named states, one place for every change of them.
 
 SERVING: as ever. STOPPING: SIGTERM came; all goes on, as clients may have no other relay and what is taken on lives through the
-restart, but no call begins that the end would cut off. LETTING_GO: no connection is taken any more, and each answer ends its
-connection. LAST_ANSWERS: what stands idle is closed; who has begun a request gets its answer, calls and notices that are out are
-waited for. CUTTING: what is not whole by now is not read any more; what is gets its answer. ENDED: the loop stops.
+restart, but no call begins that the end would cut off. CLOSING_CONNECTIONS: no connection is taken any more, and each answer ends its
+connection. FINISHING_REQUESTS: what stands idle is closed; who has begun a request gets its answer, calls and notices that are out are
+waited for. DROPPING_UNFINISHED: what is not whole by now is not read any more; what is gets its answer. ENDED: the loop stops.
 docs/design/shutdown.md tells what each party sees in each of them.
 """
 
@@ -11,7 +11,7 @@
 from molehill.core import events as ev
 from molehill.invariants import check_invariant
 
-SERVING, STOPPING, LETTING_GO, LAST_ANSWERS, CUTTING, ENDED = (
+SERVING, STOPPING, CLOSING_CONNECTIONS, FINISHING_REQUESTS, DROPPING_UNFINISHED, ENDED = (
     "serving",
     "stopping",
     "letting go",
@@ -19,29 +19,29 @@
     "cutting",
     "ended",
 )
-NEXT = {
+NEXT_STATES = {
     SERVING: (STOPPING, ENDED),
-    STOPPING: (LETTING_GO, ENDED),
-    LETTING_GO: (LAST_ANSWERS, ENDED),
-    LAST_ANSWERS: (CUTTING, ENDED),
-    CUTTING: (ENDED,),
+    STOPPING: (CLOSING_CONNECTIONS, ENDED),
+    CLOSING_CONNECTIONS: (FINISHING_REQUESTS, ENDED),
+    FINISHING_REQUESTS: (DROPPING_UNFINISHED, ENDED),
+    DROPPING_UNFINISHED: (ENDED,),
     ENDED: (),
 }
 # From SIGTERM on, with SIGKILL no sooner than at 3.7 s: when each state begins at the latest; the last come as soon as nobody
 # is waited for.
-AT = {
+LATEST_START = {
     STOPPING: 0,
-    LETTING_GO: 3000 * MS,
-    LAST_ANSWERS: 3300 * MS,
-    CUTTING: 3500 * MS,
+    CLOSING_CONNECTIONS: 3000 * MS,
+    FINISHING_REQUESTS: 3300 * MS,
+    DROPPING_UNFINISHED: 3500 * MS,
     ENDED: 3600 * MS,
 }
-LOOK_EVERY = 5 * MS  # whether anybody still waits for a last answer
+CHECK_INTERVAL = 5 * MS  # whether anybody still waits for a last answer
 
 
 class Shutdown:
     def __init__(self, process):
-        self.process, self.scheduler, self.state, self.told = (
+        self.process, self.scheduler, self.state, self.requested_at = (
             process,
             process.scheduler,
             SERVING,
@@ -50,51 +50,51 @@
 
     def begin(self) -> None:
         """The relay is told to end; told again, it goes on with that."""
-        if self.told is None:
-            self.told = self.scheduler.clock()
-            self.scheduler.spawn_kept(self.run)
+        if self.requested_at is None:
+            self.requested_at = self.scheduler.clock()
+            self.scheduler.spawn_supervised(self.run)
 
     def run(self) -> None:
         """From one state to the next, each at its time; begun anew after a fault, it goes on from where it is."""
-        if self.process.given:  # another process has all of it
-            self.move(ENDED)
+        if self.process.handed_over:  # another process has all of it
+            self.change_state(ENDED)
         while self.state is not ENDED:
-            state = NEXT[self.state][0]
-            until = self.told + AT[state]
-            if state not in (CUTTING, ENDED):
-                self.scheduler.sleep(until)
-            while self.scheduler.clock() < until and self.waited_for():
-                self.scheduler.sleep(min(until, self.scheduler.clock() + LOOK_EVERY))
+            state = NEXT_STATES[self.state][0]
+            deadline = self.requested_at + LATEST_START[state]
+            if state not in (DROPPING_UNFINISHED, ENDED):
+                self.scheduler.sleep_until(deadline)
+            while self.scheduler.clock() < deadline and self.is_work_pending():
+                self.scheduler.sleep_until(min(deadline, self.scheduler.clock() + CHECK_INTERVAL))
             if self.state is not ENDED:
-                self.move(state)
+                self.change_state(state)
 
-    def waited_for(self) -> bool:
+    def is_work_pending(self) -> bool:
         """Whether somebody may still get what it waits for."""
         process = self.process
-        if self.state is LAST_ANSWERS:
+        if self.state is FINISHING_REQUESTS:
             return bool(
                 process.clients.connections
                 or process.notices.pending_count
                 or process.hosts.calls_in_flight
             )
-        return self.state is CUTTING and not process.clients.is_quiescent()
+        return self.state is DROPPING_UNFINISHED and not process.clients.is_quiescent()
 
-    def move(self, state) -> None:
+    def change_state(self, state) -> None:
         """Every change of the state, and what it brings with it."""
         process, before, self.state = self.process, self.state, state
-        check_invariant(state in NEXT[before], "shutdown_state", before=before, after=state)
+        check_invariant(state in NEXT_STATES[before], "shutdown_state", before=before, after=state)
         if state is STOPPING:
             process.log.info(
                 "stopping", held=len(process.core.callbacks), out=process.hosts.calls_in_flight
             )
-            process.engine.post(ev.Stop(self.told + AT[LAST_ANSWERS]))
-        elif state is LETTING_GO:
+            process.engine.post_event(ev.Stop(self.requested_at + LATEST_START[FINISHING_REQUESTS]))
+        elif state is CLOSING_CONNECTIONS:
             process.clients.stop_accepting()
-        elif state is LAST_ANSWERS:
+        elif state is FINISHING_REQUESTS:
             process.clients.close_idle_connections()
-        elif state is CUTTING:
+        elif state is DROPPING_UNFINISHED:
             process.clients.close_unfinished()
         else:
-            if process.membership is not None and not process.given:
+            if process.membership is not None and not process.handed_over:
                 process.membership.leave()
             self.scheduler.stopped = True
--- a/molehill/store.py
+++ b/molehill/store.py
@@ -270,7 +270,7 @@
         if self.size + len(data) + 2 * BLOCK_SIZE > self.max_bytes:
             return False
         try:
-            fd = self.disk.open(self.new_path, anew=True)
+            fd = self.disk.open(self.new_path, truncate=True)
         except OSError:
             return False
         if not self._write(fd, data) or not self._rename_new_log(fd):
@@ -293,7 +293,7 @@
             self.disk.rename(self.new_path, self.path)
         except OSError:
             try:
-                return self.disk.is_file(self.path, fd)
+                return self.disk.is_same_file(self.path, fd)
             except OSError:
                 return False
         return True
--- a/molehill/upgrade.py
+++ b/molehill/upgrade.py
@@ -18,36 +18,36 @@
 from molehill.config import MS, SECOND, ConfigError
 from molehill.core import events as ev
 from molehill.http.discovery import list_entry
-from molehill.runtime.line import Line
-from molehill.runtime.scheduler import CUT, READ
-from molehill.runtime.stream import Broken, Late
+from molehill.runtime.message_channel import MessageChannel
+from molehill.runtime.scheduler import CANCELLED, READ
+from molehill.runtime.stream import ConnectionBroken, TimedOut
 
-VERSION = 2  # 1 had times of the wall clock in its rows
+PROTOCOL_VERSION = 2  # 1 had times of the wall clock in its rows
 # for requests that are answered and calls that are written: a quarter of a client's wait
-CALM_WITHIN = 100 * MS
+DRAIN_TIMEOUT = 100 * MS
 # for a message of the other process: many times what it takes, well within the 6 s for a yes
-STEP_WITHIN = SECOND
+MESSAGE_TIMEOUT = SECOND
 # For all that passes, as the relay stands meanwhile: half of the time within which it owes a notice (300 ms). Some 10 ms are taken.
-PASS_WITHIN = 150 * MS
-TRY_AGAIN = 50 * MS  # between looks at the lock while another process has it
+TRANSFER_TIMEOUT = 150 * MS
+RETRY_DELAY = 50 * MS  # between looks at the lock while another process has it
 # at most, between two hand-overs that broke off: each costs the one that serves a pause
-SELDOM = SECOND
-SAY_EVERY = 10 * SECOND
+MAX_RETRY_DELAY = SECOND
+WAIT_LOG_INTERVAL = 10 * SECOND
 
 
 @dataclass(slots=True)
-class HandedOver:
+class Handover:
     """What the new process got."""
 
     lock: int = -1
     listener: Any = None
     state: dict = field(default_factory=dict)
     hosts: list = field(default_factory=list)
-    learnt: list = field(default_factory=list)
-    conns: list = field(default_factory=list)  # (message, body, socket)
+    learned: list = field(default_factory=list)
+    connections: list = field(default_factory=list)  # (message, body, socket)
 
     def close(self, machine) -> None:
-        for _, _, sock in self.conns:
+        for _, _, sock in self.connections:
             sock.close()
         if self.listener is not None:
             self.listener.close()
@@ -56,108 +56,121 @@
 
 
 class Successor:
-    """The new process, until it has the lock and the log. `start`: of molehill/startup.py."""
+    """The new process, until it has the lock and the log. `startup`: of molehill/startup.py."""
 
-    def __init__(self, start, signals):
-        self.start, self.scheduler, self.config, self.log, self.signals = (
-            start,
-            start.scheduler,
-            start.config,
-            start.log,
+    def __init__(self, startup, signals):
+        self.startup, self.scheduler, self.config, self.log, self.signals = (
+            startup,
+            startup.scheduler,
+            startup.config,
+            startup.log,
             signals,
         )
         self.clock, self.machine = self.scheduler.clock, self.scheduler.machine
-        self.estate, self.seen, self.told_to_end, self.fault = None, [], False, None
+        self.handover, self.pending_signals, self.stop_requested, self.config_error = (
+            None,
+            [],
+            False,
+            None,
+        )
 
     def begin(self) -> None:
         """The loop is to stop once lock and log are here, with what the process before gave or without."""
-        self.scheduler.spawn_kept(self.on_signals)
-        self.scheduler.spawn_kept(self.seek)
+        self.scheduler.spawn_supervised(self.read_signals)
+        self.scheduler.spawn_supervised(self.acquire_lock_and_log)
 
     def finish(self) -> bool:
         """After the loop; False: told to end. Raises ConfigError for a folder that can't be used."""
-        self.scheduler.cut(self.signals.fileno())
+        self.scheduler.cancel_wait(self.signals.fileno())
         self.scheduler.stopped = False
-        if self.fault is not None:
-            raise self.fault
+        if self.config_error is not None:
+            raise self.config_error
         # told to end, it ends by the relay's shutdown
-        return self.estate is not None or not self.told_to_end
+        return self.handover is not None or not self.stop_requested
 
-    def on_signals(self) -> None:
-        while self.scheduler.wait(self.signals.fileno(), READ) != CUT:
-            self.heard(self.signals.recv(64))
+    def read_signals(self) -> None:
+        while self.scheduler.wait(self.signals.fileno(), READ) != CANCELLED:
+            self.record_signals(self.signals.recv(64))
 
-    def heard(self, numbers: bytes) -> None:
+    def record_signals(self, signal_numbers: bytes) -> None:
         """Signals that have come, a byte each."""
-        self.seen += numbers  # the relay acts on them once it is there
-        if signal.SIGTERM in self.seen or signal.SIGINT in self.seen:
-            self.told_to_end = True
-            self.scheduler.stopped = self.scheduler.stopped or self.estate is None
+        self.pending_signals += signal_numbers  # the relay acts on them once it is there
+        if signal.SIGTERM in self.pending_signals or signal.SIGINT in self.pending_signals:
+            self.stop_requested = True
+            self.scheduler.stopped = self.scheduler.stopped or self.handover is None
 
-    def seek(self) -> None:
+    def acquire_lock_and_log(self) -> None:
         try:
-            self.seek_lock()
+            self.acquire_lock()
             # Danger: with the connections of the process before it owes their answers, so it goes on although told to end.
-            while (self.estate is not None or not self.told_to_end) and not self.start.try_log():
-                self.scheduler.sleep(self.clock() + TRY_AGAIN)
+            while (
+                self.handover is not None or not self.stop_requested
+            ) and not self.startup.try_open_log():
+                self.scheduler.sleep_until(self.clock() + RETRY_DELAY)
         except ConfigError as error:
-            self.fault = error
+            self.config_error = error
         self.scheduler.stopped = True
 
-    def seek_lock(self) -> None:
-        said, ask_at, again = 0, 0, TRY_AGAIN
-        while not self.told_to_end and self.start.lock is None:
-            if self.config.admin is not None and self.clock() >= ask_at and self.ask():
-                again = min(2 * again, SELDOM)
-                ask_at = self.clock() + again
-            if self.start.lock is None:
-                self.start.try_lock()
-            if self.start.lock is not None:
+    def acquire_lock(self) -> None:
+        logged_at, next_ask_at, retry_delay = 0, 0, RETRY_DELAY
+        while not self.stop_requested and self.startup.lock is None:
+            if (
+                self.config.admin is not None
+                and self.clock() >= next_ask_at
+                and self.request_handover()
+            ):
+                retry_delay = min(2 * retry_delay, MAX_RETRY_DELAY)
+                next_ask_at = self.clock() + retry_delay
+            if self.startup.lock is None:
+                self.startup.try_lock()
+            if self.startup.lock is not None:
                 return
-            if self.clock() - said >= SAY_EVERY:
-                said = self.clock()
+            if self.clock() - logged_at >= WAIT_LOG_INTERVAL:
+                logged_at = self.clock()
                 self.log.info("waiting for the folder", state=self.config.state)
-            self.scheduler.sleep(self.clock() + TRY_AGAIN)
+            self.scheduler.sleep_until(self.clock() + RETRY_DELAY)
 
-    def ask(self) -> bool:
+    def request_handover(self) -> bool:
         """Has the process that serves now hand over, if it can be reached and does; whether that was begun and broke off."""
-        estate, line = HandedOver(), None
+        handover, channel = Handover(), None
         try:
-            line = Line(self.scheduler, self.machine.reach(self.config.state))
-            line.send({"k": "hello", "v": VERSION}, self.clock() + STEP_WITHIN)
-            while self.take(estate, *line.receive(self.clock() + STEP_WITHIN)):
+            channel = MessageChannel(
+                self.scheduler, self.machine.connect_to_predecessor(self.config.state)
+            )
+            channel.send({"k": "hello", "v": PROTOCOL_VERSION}, self.clock() + MESSAGE_TIMEOUT)
+            while self.receive_row(handover, *channel.receive(self.clock() + MESSAGE_TIMEOUT)):
                 pass
-            if self.told_to_end:
-                raise Broken("told to end")
-            line.send({"k": "mine"}, self.clock() + STEP_WITHIN)
-            self.estate, self.start.lock = estate, estate.lock
-        except (Broken, Late, OSError, KeyError, TypeError, ValueError) as error:
+            if self.stop_requested:
+                raise ConnectionBroken("told to end")
+            channel.send({"k": "mine"}, self.clock() + MESSAGE_TIMEOUT)
+            self.handover, self.startup.lock = handover, handover.lock
+        except (ConnectionBroken, TimedOut, OSError, KeyError, TypeError, ValueError) as error:
             # the lock's copy too: it stays with whoever has it
-            estate.close(self.machine)
+            handover.close(self.machine)
             if not isinstance(error, OSError):
                 self.log.warning("no hand-over", error=repr(error))
-            return line is not None
+            return channel is not None
         finally:
-            if line is not None:
-                line.close()
+            if channel is not None:
+                channel.close()
         return False
 
-    def take(self, estate, message, body, fd) -> bool:
+    def receive_row(self, handover, message, body, fd) -> bool:
         """One row of what the old process hands over; whether more is to come."""
         kind = message["k"]
         if kind == "lock" and fd is not None:
-            estate.lock = fd
+            handover.lock = fd
             return False
         if fd is not None:
-            sock = self.machine.adopt(fd)
+            sock = self.machine.socket_from_descriptor(fd)
             if kind == "listener":
-                estate.listener = sock
+                handover.listener = sock
             else:
-                estate.conns.append((message, body, sock))
+                handover.connections.append((message, body, sock))
         elif kind == "state":
-            estate.state = message
+            handover.state = message
         elif kind in ("host", "learnt"):
-            (estate.hosts if kind == "host" else estate.learnt).append(message["row"])
+            (handover.hosts if kind == "host" else handover.learned).append(message["row"])
         else:
             raise ValueError(f"{kind}: {message.get('why', 'not a row that is known')}")
         return True
@@ -174,83 +187,90 @@
             process.log,
         )
         self.listener = None
-        self.meet()
-        self.scheduler.spawn_kept(self.serve)
+        self.open_listener()
+        self.scheduler.spawn_supervised(self.serve)
 
-    def meet(self) -> None:
+    def open_listener(self) -> None:
         """Opens the meeting place. Danger: a folder that takes no file now is no reason to end: only an upgrade needs the place."""
         try:
-            self.listener = self.scheduler.machine.meet(self.process.config.state)
+            self.listener = self.scheduler.machine.listen_for_successor(self.process.config.state)
         except OSError as error:
             self.log.error("no meeting place for upgrades", error=str(error))
 
     def serve(self) -> None:
         while self.listener is None:
-            self.scheduler.sleep(self.clock() + SELDOM)
-            self.meet()
-        while not self.process.given:
+            self.scheduler.sleep_until(self.clock() + MAX_RETRY_DELAY)
+            self.open_listener()
+        while not self.process.handed_over:
             self.scheduler.wait(self.listener.fileno(), READ)
             try:
                 sock, _ = self.listener.accept()
             except OSError:
-                self.scheduler.sleep(self.clock() + TRY_AGAIN)
+                self.scheduler.sleep_until(self.clock() + RETRY_DELAY)
                 continue
-            line = Line(self.scheduler, sock)
+            channel = MessageChannel(self.scheduler, sock)
             try:
-                message, _, _ = line.receive(self.clock() + STEP_WITHIN)
-                if message.get("k") != "hello" or message.get("v") != VERSION:
-                    line.send(
-                        {"k": "no", "why": f"version {VERSION} is spoken here"},
-                        self.clock() + STEP_WITHIN,
+                message, _, _ = channel.receive(self.clock() + MESSAGE_TIMEOUT)
+                if message.get("k") != "hello" or message.get("v") != PROTOCOL_VERSION:
+                    channel.send(
+                        {"k": "no", "why": f"version {PROTOCOL_VERSION} is spoken here"},
+                        self.clock() + MESSAGE_TIMEOUT,
                     )
                 else:
-                    self.hand_over(line)
-            except (Broken, Late) as error:
+                    self.hand_over(channel)
+            except (ConnectionBroken, TimedOut) as error:
                 self.log.warning("no hand-over", error=repr(error))
             finally:
-                line.close()
+                channel.close()
         self.listener.close()
 
-    def hand_over(self, line) -> None:
-        began, process = self.clock(), self.process
-        process.hold()
-        while self.clock() < began + CALM_WITHIN and not process.calm():
-            self.scheduler.sleep(self.clock() + MS)
+    def hand_over(self, channel) -> None:
+        started_at, process = self.clock(), self.process
+        process.pause_intake()
+        while self.clock() < started_at + DRAIN_TIMEOUT and not process.is_drained():
+            self.scheduler.sleep_until(self.clock() + MS)
         process.clients.close_unanswered()
         # danger: their clients have not heard, and the next process could not know
-        self.scheduler.pause()
-        rows, error, until = process.give(began), None, self.clock() + PASS_WITHIN
+        self.scheduler.yield_now()
+        rows, error, deadline = (
+            process.prepare_handover(started_at),
+            None,
+            self.clock() + TRANSFER_TIMEOUT,
+        )
         try:
             # danger: the next process goes by the log, and would not know of it
-            if process.engine.unwritten:
-                raise Broken("the log does not take records")
+            if process.engine.unwritten_rows:
+                raise ConnectionBroken("the log does not take records")
             for message, body, sock in rows:
-                line.send(message, until, body, sock and sock.fileno())
-            line.send({"k": "lock"}, until, fd=process.lock)
-            said = line.receive(until)[0]
-        except (Broken, Late) as failure:
+                channel.send(message, deadline, body, sock and sock.fileno())
+            channel.send({"k": "lock"}, deadline, fd=process.lock)
+            reply = channel.receive(deadline)[0]
+        except (ConnectionBroken, TimedOut) as failure:
             # Danger: its word may be on the way, and it may begin to write. After the line's end none can come any more.
-            error, said = failure, {"k": "mine"} if {"k": "mine"} in line.last_words() else {}
-        if said.get("k") == "mine":
+            error, reply = (
+                failure,
+                {"k": "mine"} if {"k": "mine"} in channel.drain_after_shutdown() else {},
+            )
+        if reply.get("k") == "mine":
             for _, _, sock in rows:
                 if sock is not None and sock is not process.clients.listener:
                     sock.close()
-            process.gave()
-            self.log.info("handed over", rows=len(rows), ms=(self.clock() - began) // MS)
+            process.finish_handover()
+            self.log.info("handed over", rows=len(rows), ms=(self.clock() - started_at) // MS)
         else:
             self.log.error("hand-over broke off", error=repr(error))
-            process.go_on(rows, began)
+            process.abort_handover(rows, started_at)
 
 
-def rows_of(process, began: int):
+def handover_rows(process, started_at: int):
     """All that passes, as rows (message, body, socket or None); nothing of it is used by this process unless it comes back."""
     core, rows = process.core, []
-    state, learnt = core.handover_state()
+    state, learned = core.handover_state()
     rows += [
         ({"k": "host", "row": list_entry(host, process.config)}, b"", None)
         for host in core.hosts.values()
     ]
-    rows += [({"k": "learnt", "row": row}, b"", None) for row in learnt]
+    rows += [({"k": "learnt", "row": row}, b"", None) for row in learned]
     calls = process.hosts.hand_over()
     process.notices.hand_over()
     rows += process.clients.hand_over() + calls
@@ -258,7 +278,7 @@
     state.update(
         k="state",
         lost=[],
-        began=began,
+        began=started_at,
         version=process.discovery.version,
         discovery="%s:%d" % process.config.discovery,
         discovery_in_file=process.config.discovery_in_file,
@@ -268,27 +288,32 @@
     return [*rows, (state, b"", None)]
 
 
-def inherit(process, estate) -> ev.HandoverReceived:
+def accept_handover(process, handover) -> ev.HandoverReceived:
     """Has connections and calls go on in the new process; what its core is to know of them."""
-    held, calls, lost = process.core.callbacks, [], list(estate.state["lost"])
-    for message, body, sock in estate.conns:
+    held, calls, lost = process.core.callbacks, [], list(handover.state["lost"])
+    for message, body, sock in handover.connections:
         kind = message["k"]
         if kind == "client":
             process.clients.adopt_connection(message, body, sock)
             continue
         if kind == "call":
-            until = min(m[1] for m in message["members"])
+            deadline = min(member[1] for member in message["members"])
             message["members"] = [
-                [number, until] for number, _ in message["members"] if number in held
+                [callback_id, deadline]
+                for callback_id, _ in message["members"]
+                if callback_id in held
             ]
-        ids = [number for number, _ in message.get("members", ())]
+        ids = [callback_id for callback_id, _ in message.get("members", ())]
         if kind == "call" and not ids or message["host"] not in process.core.hosts:
             sock.close()
         elif process.hosts.adopt_connection(message, body, sock):
             if kind == "call":
-                calls.append((message["n"], message["host"], ids, message["start"], until))
+                calls.append((message["n"], message["host"], ids, message["start"], deadline))
             continue
         lost += ids
     return ev.HandoverReceived(
-        calls, lost, {route: until for route, until in estate.state["waits"]}, estate.learnt
+        calls,
+        lost,
+        {route: wait_until for route, wait_until in handover.state["waits"]},
+        handover.learned,
     )
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.place import Place
+from tests.harness import RelayHarness
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
 KNOWN_RED_LIMIT = 3
@@ -44,8 +44,8 @@
 
 
 @pytest.fixture
-def place(tmp_path):
+def harness(tmp_path):
     """One relay on loopback sockets with its other parties, closed at the end."""
-    made = Place(tmp_path)
+    made = RelayHarness(tmp_path)
     yield made
     made.close()
--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -10,7 +10,7 @@
 from molehill.http.stream import HttpStream
 from molehill.runtime.kernel import Disk, Kernel
 from molehill.runtime.scheduler import Scheduler
-from molehill.runtime.stream import Budget
+from molehill.runtime.stream import DescriptorBudget
 from molehill.store import Store
 
 MS = 1_000_000
@@ -333,7 +333,7 @@
         # callback -> how it ended in this life, None: in an earlier one, and the log says so
         self.counted_ends = {i: None for i in self.ended if i not in self.core.callbacks}
         self.post(ev.HostListReceived(interface.ListScope.RESTORED, list(self.hosts.values())))
-        self.post(ev.Start())
+        self.post(ev.Startup())
         self.step()
 
     def kill(self):
@@ -563,7 +563,7 @@
         self.clock = ManualClock()
         self.scheduler, self.budget, self.events = (
             Scheduler(Kernel(self.clock)),
-            Budget(sockets),
+            DescriptorBudget(sockets),
             [],
         )
 
@@ -573,7 +573,7 @@
     def settle(self, rounds=30):
         """Runs all that can run without time passing."""
         for _ in range(rounds):
-            self.scheduler.turn(block=False)
+            self.scheduler.run_once(block=False)
 
     def advance(self, span, step=50 * MS):
         until = self.clock.now + span
@@ -585,7 +585,7 @@
         """A stream of the relay's and the other party's end."""
         ours, theirs = socket.socketpair()
         theirs.setblocking(False)
-        assert self.budget.take(kind)
+        assert self.budget.acquire(kind)
         return make(self.scheduler, ours, kind, self.budget, **how), theirs
 
     def intercept_connections(self, monkeypatch):
@@ -600,7 +600,7 @@
             made.append(theirs)
             return stream
 
-        monkeypatch.setattr("molehill.runtime.stream.opened", opened)
+        monkeypatch.setattr("molehill.runtime.stream.open_stream", opened)
         return made, refusals
 
 
@@ -645,4 +645,4 @@
 
 
 def net_config(**given):
-    return config.check(net_config_fields(**given), {})
+    return config.parse_config(net_config_fields(**given), {})
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from molehill.config import ADMIN_SEATS
+from molehill.config import MAX_ADMIN_CONNECTIONS
 from molehill.core.metrics import Metrics
 from molehill.core.permission import Refusal
 from molehill.http.admin import AdminServer
@@ -75,8 +75,8 @@
 
 
 def test_silent_connections_block_no_others_and_leak_nothing(harness):
-    silent = [harness.call(b"GET /re" if n % 2 else b"") for n in range(5 * ADMIN_SEATS)]
-    assert harness.admin.connection_budget.total() <= ADMIN_SEATS
+    silent = [harness.call(b"GET /re" if n % 2 else b"") for n in range(5 * MAX_ADMIN_CONNECTIONS)]
+    assert harness.admin.connection_budget.total() <= MAX_ADMIN_CONNECTIONS
     for _ in range(3):
         assert b"200 OK" in drain(
             harness.call(b"GET /ready HTTP/1.1\r\n\r\n")
@@ -90,7 +90,7 @@
         and harness.admin.connection_budget.total() == 0
         and not harness.admin.reading_streams
     )
-    assert list(harness.net.scheduler.waiting) == [harness.admin.listener.fileno()]
+    assert list(harness.net.scheduler.waiters) == [harness.admin.listener.fileno()]
 
 
 def test_the_operators_page_lists_every_metric():
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -8,7 +8,7 @@
 from molehill.benchlink import codec
 
 MS = 1_000_000
-GIVEN = {
+FILE_VALUES = {
     "name": "n0",
     "listen": "127.0.0.1:81",
     "discovery": "127.0.0.1:82",
@@ -45,7 +45,7 @@
 
 
 def changed(path, value):
-    given = json.loads(json.dumps(GIVEN))
+    given = json.loads(json.dumps(FILE_VALUES))
     at, *names = given, *path.split(".")
     for name in names[:-1]:
         at = at[int(name) if isinstance(at, list) else name]
@@ -53,10 +53,12 @@
     return given
 
 
-def test_nested_settings_read_as_the_bench_s_pairs_do():
-    pairs = config.flat(GIVEN["settings"])
-    made = config.settings(codec.parse_pairs([f"{key}={value}" for key, value in pairs.items()]))
-    assert made == config.settings(pairs)
+def test_nested_and_flat_settings_parse_alike():
+    pairs = config.flatten(FILE_VALUES["settings"])
+    made = config.parse_settings(
+        codec.parse_pairs([f"{key}={value}" for key, value in pairs.items()])
+    )
+    assert made == config.parse_settings(pairs)
     assert made.connection_idle == 1500250000 and made.kinds == [
         interface.HostKind(False, 10),
         interface.HostKind(True, 1),
@@ -79,19 +81,24 @@
     )
 
 
-def test_the_relay_s_own_values_and_their_defaults():
-    made = config.check(GIVEN, {"ROUTER_NAME": "n7", "ROUTER_LISTEN": "127.0.0.9:99"})
+def test_relay_values_and_defaults():
+    made = config.parse_config(FILE_VALUES, {"ROUTER_NAME": "n7", "ROUTER_LISTEN": "127.0.0.9:99"})
     assert (made.name, made.listen, made.seed, made.state) == ("n7", ("127.0.0.9", 99), 15, "/x")
     assert (
-        made.categories == {"notice": 0}
+        made.callback_classes == {"notice": 0}
         and made.kinds == {"m1": 0, "m2": 1}
         and made.zones["b"] == 1
     )
-    assert made.period == config.PERIOD and made.connect_time_out == config.CONNECT_TIME_OUT
+    assert (
+        made.period == config.DEFAULT_PERIOD
+        and made.connect_time_out == config.DEFAULT_CONNECT_TIMEOUT
+    )
     assert (made.settings.max_calls, made.sockets, made.client_sockets) == (4, 92, 46)
-    tight = config.check(changed("limits.sockets", 40), {})
+    tight = config.parse_config(changed("limits.sockets", 40), {})
     assert (tight.settings.max_calls, tight.sockets, tight.client_sockets) == (4, 32, 16)
-    tight = config.check({**changed("settings.extra.maxCalls", 90), "limits": {"sockets": 40}}, {})
+    tight = config.parse_config(
+        {**changed("settings.extra.maxCalls", 90), "limits": {"sockets": 40}}, {}
+    )
     assert (tight.settings.max_calls, tight.client_sockets) == (
         20,
         8,
@@ -113,7 +120,7 @@
         ("settings.grades.0.deadlineMs", "2000", "settings.grades.0.deadlineMs"),
         ("settings.allowed.maxAttempts", 0, "settings.allowed.maxAttempts"),
         ("settings.allowed.maxAttempts", True, "settings.allowed.maxAttempts"),
-        ("settings.grades", GIVEN["settings"]["grades"] * 2, "settings.grades"),
+        ("settings.grades", FILE_VALUES["settings"]["grades"] * 2, "settings.grades"),
         *[
             (f"settings.grades.0.{key}", None, f"settings.grades.0.{key}")
             for key in ("name", "semantics", "deadlineMs", "dedupScope", "dedupWindowMs")
@@ -135,37 +142,37 @@
         ("trace", {"file": "/x", "size": 1}, "trace.size"),
     ],
 )
-def test_a_fault_is_told_by_its_key(path, value, key):
+def test_error_names_the_faulty_key(path, value, key):
     with pytest.raises(config.ConfigError) as caught:
-        config.check(changed(path, value), {})
+        config.parse_config(changed(path, value), {})
     assert str(caught.value).startswith(key + ":")
 
 
-def test_a_file_read_again_has_to_name_all_that_the_one_before_did(tmp_path):
-    path, before = tmp_path / "config.json", config.check(GIVEN, {})
+def test_reloaded_file_must_have_all_previous_keys(tmp_path):
+    path, before = tmp_path / "config.json", config.parse_config(FILE_VALUES, {})
 
-    def again(given):
+    def reload(given):
         path.write_text(json.dumps(given))
         return config.load(
-            {"ROUTER_CONFIG": str(path), "ROUTER_DISCOVERY": "127.0.0.1:9"}, again=before
+            {"ROUTER_CONFIG": str(path), "ROUTER_DISCOVERY": "127.0.0.1:9"}, previous=before
         )
 
     def without(at, name):
-        given = json.loads(json.dumps(GIVEN))
+        given = json.loads(json.dumps(FILE_VALUES))
         part = given
         for step in at:
             part = part[step]
         del part[name]
         return given
 
-    row = GIVEN["settings"]["grades"][0]
+    row = FILE_VALUES["settings"]["grades"][0]
     strict = {
         **{k: v for k, v in row.items() if not k.startswith("dedup")},
         "name": "once",
         "semantics": "at_most_once",
     }
-    made = again(changed("settings.grades", [row, strict]))
-    assert made.categories == {"notice": 0, "once": 1} and made.discovery == ("127.0.0.1", 82)
+    made = reload(changed("settings.grades", [row, strict]))
+    assert made.callback_classes == {"notice": 0, "once": 1} and made.discovery == ("127.0.0.1", 82)
     for at, name, key in (
         ((), "settings", "settings"),
         ((), "discovery", "discovery"),
@@ -173,7 +180,7 @@
         (("settings", "grades", 0), "deadlineMs", "settings.grades.0.deadlineMs"),
     ):
         with pytest.raises(config.ConfigError, match=f"^{key}: missing"):
-            again(without(at, name))
+            reload(without(at, name))
     for text in (
         "",
         path.read_text()[:200],
@@ -181,10 +188,10 @@
     ):
         path.write_text(text)
         with pytest.raises(config.ConfigError, match="ROUTER_CONFIG"):
-            config.load({"ROUTER_CONFIG": str(path)}, again=before)
+            config.load({"ROUTER_CONFIG": str(path)}, previous=before)
 
 
-def test_the_file_that_can_t_be_read_is_named(tmp_path):
+def test_unreadable_file_is_named(tmp_path):
     for text in (None, "{", "[]", "[" * 100_000):
         path = tmp_path / "config.json"
         if text is not None:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -8,7 +8,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 
 from molehill import interface, invariants
-from molehill.config import CONNECT_TIME_OUT
+from molehill.config import DEFAULT_CONNECT_TIMEOUT
 from molehill.core import events as ev
 from molehill.core.permission import Refusal
 from molehill.core.reducer import Core
@@ -58,7 +58,7 @@
             interface.ListScope.RESTORED,
             [ev.Host("h1", ("127.0.0.1", 1), 0, 0, 1, interface.Condition.UP, 1.0)],
         ),
-        ev.Start(),
+        ev.Startup(),
         ev.Step(),
     )
     return core
@@ -223,7 +223,7 @@
                 interface.ListScope.RESTORED,
                 [ev.Host("h1", ("127.0.0.1", 1), 0, 0, 1, interface.Condition.UP, 1.0)],
             ),
-            ev.Start(),
+            ev.Startup(),
         )
         return core
 
@@ -557,7 +557,7 @@
         ({"k": "over", "ids": ["a"]}, b""),
     ):
         core.load(record, body)
-    effects_of(core, now, ev.Start())
+    effects_of(core, now, ev.Startup())
     assert core.cooldowns == {"k": now + SECOND} and not core.unsettled_keys and not core.callbacks
 
 
@@ -875,7 +875,7 @@
     )
     hosts = [ev.Host("h1", ("127.0.0.1", 1), 0, 0, 1, interface.Condition.UP, 1.0)]
     effects_of(
-        core, now, ev.HostListReceived(interface.ListScope.RESTORED, hosts), ev.Start(), ev.Step()
+        core, now, ev.HostListReceived(interface.ListScope.RESTORED, hosts), ev.Startup(), ev.Step()
     )
     effects_of(core, now, ev.Submitted("c", submission()), ev.Step())
     (call,) = effects_of(core, now, ev.AnswerWritten("a", "c"))
@@ -883,7 +883,7 @@
     later = now + 10 * MS
     after = effects_of(core, later, ev.Step(), ev.Step())
     notices = [effect for effect in after if type(effect) is ev.Notify]
-    assert [notice.not_before for notice in notices] == [now + CONNECT_TIME_OUT]
+    assert [notice.not_before for notice in notices] == [now + DEFAULT_CONNECT_TIMEOUT]
 
 
 def test_core_ends_callback_module_forgot(tmp_path, monkeypatch):
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -180,7 +180,7 @@
 
 def test_a_relay_that_lets_a_fault_escape_fails_the_run():
     run = Run(calm())
-    run.world.after(500_000_000, lambda: run.nodes["relay0"].process.scheduler.at(0, None))
+    run.world.after(500_000_000, lambda: run.nodes["relay0"].process.scheduler.call_at(0, None))
     verdict = run.play()
     assert not verdict["ok"] and verdict["failure"]["text"] == "a fault in the relay"
 
--- a/tests/test_emulator_machine.py
+++ b/tests/test_emulator_machine.py
@@ -268,7 +268,7 @@
     disk.seek(fd, 5)
     disk.rename(old, new)
     assert disk.write(fd, b"!") == 1 and disk.read(new) == b"hello!" and not disk.exists(old)
-    other = disk.open(new, anew=True)
+    other = disk.open(new, truncate=True)
     assert disk.read(new) == b""
     disk.unlink(new)
     assert not disk.exists(new)
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -12,7 +12,7 @@
 from molehill.soak.oracle import judge, sent_after_end
 from molehill.soak.plan import HOSTS, Drain, End, Outage, Plan, drawn
 from tests.core_harness import MS, SECOND, drain
-from tests.place import ASK, Place, kill
+from tests.harness import REQUEST, RelayHarness, kill_and_restart
 
 
 def rule_violations(plan, folder):
@@ -63,15 +63,15 @@
 
 @pytest.mark.parametrize("time_left, is_written", [(80 * MS, True), (40 * MS, False)])
 def test_a_call_that_expires_during_its_log_write_is_not_sent(tmp_path, time_left, is_written):
-    place = Place(tmp_path, SlowMachine)
-    place.relay.store.disk.delay = 60 * MS
-    client = place.client()
+    harness = RelayHarness(tmp_path, SlowMachine)
+    harness.relay.store.disk.delay = 60 * MS
+    client = harness.connect_client()
     client.send(
-        ASK.replace(b"Content", b"Req-Deadline-Ms: %d\r\nContent" % (time_left // MS)) % b"id1"
+        REQUEST.replace(b"Content", b"Req-Deadline-Ms: %d\r\nContent" % (time_left // MS)) % b"id1"
     )
-    place.hear(client, b"HTTP/1.1 202")
-    host = place.accept(place.host)
-    place.advance(SECOND)
+    harness.read_until(client, b"HTTP/1.1 202")
+    host = harness.accept(harness.host)
+    harness.advance(SECOND)
     text = drain(host) or b""
     assert (b"Req-Id: id1" in text) is is_written
     if is_written:
@@ -79,138 +79,138 @@
         assert (
             told <= (time_left - 60 * MS) // MS
         ), "what is left of its time as its first byte goes"
-    place.close()
+    harness.close()
 
 
-def test_a_notice_follows_its_timed_out_call_in_time(place):
+def test_a_notice_follows_its_timed_out_call_in_time(harness):
     """Danger: they go by connections of their own, and nothing but time orders the two."""
-    client = place.client()
-    client.send(ASK.replace(b"Content", b"Req-Deadline-Ms: 30\r\nContent") % b"id1")
-    place.hear(client, b"HTTP/1.1 202")
-    place.hear(place.accept(place.host), b"\r\n\r\nab")
-    called, heard, platforms = place.clock.now, b"", []
-    while b'{"ref":"id1"' not in heard and place.clock.now < called + SECOND:
-        place.advance(5 * MS)
-        heard += place.platform_hears(platforms)
-    assert 95 * MS <= place.clock.now - called <= 250 * MS
-
-
-def test_an_answer_at_the_client_timeout_withdraws_nothing(place):
+    client = harness.connect_client()
+    client.send(REQUEST.replace(b"Content", b"Req-Deadline-Ms: 30\r\nContent") % b"id1")
+    harness.read_until(client, b"HTTP/1.1 202")
+    harness.read_until(harness.accept(harness.host), b"\r\n\r\nab")
+    called, heard, platforms = harness.clock.now, b"", []
+    while b'{"ref":"id1"' not in heard and harness.clock.now < called + SECOND:
+        harness.advance(5 * MS)
+        heard += harness.read_at_platform(platforms)
+    assert 95 * MS <= harness.clock.now - called <= 250 * MS
+
+
+def test_an_answer_at_the_client_timeout_withdraws_nothing(harness):
     """Danger: told 202 and withdrawn, a callback is lost."""
-    clients, posted = place.relay.clients, []
+    clients, posted = harness.relay.clients, []
     clients.post = posted.append
-    client = place.client()
-    client.send(ASK % b"id1")
-    place.turn()
+    client = harness.connect_client()
+    client.send(REQUEST % b"id1")
+    harness.run_rounds()
     ((conn, _),) = clients.connections.items()
     # in the turn in which the wait is over, behind it
-    place.relay.scheduler.at(
-        place.clock.now + SECOND, clients.answer_request, ev.Answer(conn, "id1", 202)
+    harness.relay.scheduler.call_at(
+        harness.clock.now + SECOND, clients.answer_request, ev.Answer(conn, "id1", 202)
     )
-    place.advance(2 * SECOND)
+    harness.advance(2 * SECOND)
     assert b"HTTP/1.1 202" in drain(client)
     assert [type(event) for event in posted] == [ev.Submitted, ev.AnswerWritten]
 
 
 def test_a_slow_disk_delays_no_answer_or_notice(tmp_path):
     """Danger: a write for each callback of a batch, 20 ms each, stops the loop for as long as clients wait."""
-    place = Place(tmp_path, SlowMachine)
-    disk = place.relay.store.disk
+    harness = RelayHarness(tmp_path, SlowMachine)
+    disk = harness.relay.store.disk
     disk.pattern, disk.delay = b"", 20 * MS
-    clients, platforms, told = [place.client() for _ in range(30)], [], b""
-    request = ASK.replace(b"notice", b"plain").replace(
+    clients, platforms, told = [harness.connect_client() for _ in range(30)], [], b""
+    request = REQUEST.replace(b"notice", b"plain").replace(
         b"Content", b"Req-Deadline-Ms: 500\r\nContent"
     )
-    began = place.clock.now
+    began = harness.clock.now
     for n, client in enumerate(clients):
         client.send(request % b"id%02d" % n)
-    place.turn()
-    heard = [place.hear(client, b"HTTP/1.1 202") for client in clients]
-    assert len(heard) == 30 and place.clock.now - began <= 400 * MS
-    while place.clock.now < began + 800 * MS:
-        place.advance(5 * MS)
-        told += place.platform_hears(platforms)
+    harness.run_rounds()
+    heard = [harness.read_until(client, b"HTTP/1.1 202") for client in clients]
+    assert len(heard) == 30 and harness.clock.now - began <= 400 * MS
+    while harness.clock.now < began + 800 * MS:
+        harness.advance(5 * MS)
+        told += harness.read_at_platform(platforms)
     assert all(b'"ref":"id%02d"' % n in told for n in range(30))
-    place.close()
+    harness.close()
 
 
-def send_accepted(place, callback_id, span, kind=b"notice"):
+def send_accepted(harness, callback_id, span, kind=b"notice"):
     """A client that has been told that its request, with that span of time, is taken on."""
-    client = place.client()
+    client = harness.connect_client()
     deadline = b"Req-Deadline-Ms: %d\r\nContent" % (span // MS)
-    client.send(ASK.replace(b"Content", deadline).replace(b"notice", kind) % callback_id)
-    place.hear(client, b"HTTP/1.1 202")
+    client.send(REQUEST.replace(b"Content", deadline).replace(b"notice", kind) % callback_id)
+    harness.read_until(client, b"HTTP/1.1 202")
     return client
 
 
-def advance_to_notice(place, callback_id, until, platforms):
+def advance_to_notice(harness, callback_id, until, platforms):
     """Moves the clock until the platform hears the notice of that id, or till then; whether it did."""
     heard = b""
-    while place.clock.now < until:
-        place.advance(5 * MS)
-        heard += place.platform_hears(platforms)
+    while harness.clock.now < until:
+        harness.advance(5 * MS)
+        heard += harness.read_at_platform(platforms)
         if b'"ref":"%s"' % callback_id in heard:
             return True
     return False
 
 
 @pytest.mark.parametrize("host_closes", [True, False])
-def test_no_notice_overtakes_an_unread_call(place, host_closes):
+def test_no_notice_overtakes_an_unread_call(harness, host_closes):
     """Danger: the host's system takes connection and call at once, and its process reads them later."""
-    requested_at = place.clock.now
-    send_accepted(place, b"id1", 300 * MS)
+    requested_at = harness.clock.now
+    send_accepted(harness, b"id1", 300 * MS)
     due, platforms = requested_at + 300 * MS, []
-    assert not advance_to_notice(place, b"id1", due + 145 * MS, platforms)
+    assert not advance_to_notice(harness, b"id1", due + 145 * MS, platforms)
     if host_closes:
-        host, read_at = place.accept(place.host), place.clock.now
+        host, read_at = harness.accept(harness.host), harness.clock.now
         assert b"Req-Id: id1" in drain(host)
         host.close()
-        assert advance_to_notice(place, b"id1", read_at + 20 * MS, platforms)
+        assert advance_to_notice(harness, b"id1", read_at + 20 * MS, platforms)
     else:
-        assert advance_to_notice(place, b"id1", due + 300 * MS, platforms), "in time all the same"
+        assert advance_to_notice(harness, b"id1", due + 300 * MS, platforms), "in time all the same"
 
 
-def test_no_notice_overtakes_an_earlier_unread_call(place):
+def test_no_notice_overtakes_an_earlier_unread_call(harness):
     """Danger: the last call ended by an answer, and an earlier one still lies in its host's system."""
-    requested_at = place.clock.now
-    send_accepted(place, b"id1", 1400 * MS)
-    place.accept(place.host)
-    answered = place.accept(place.host)
-    assert b"Req-Id: id1" in place.hear(answered, b"\r\n\r\nab")
+    requested_at = harness.clock.now
+    send_accepted(harness, b"id1", 1400 * MS)
+    harness.accept(harness.host)
+    answered = harness.accept(harness.host)
+    assert b"Req-Id: id1" in harness.read_until(answered, b"\r\n\r\nab")
     answered.send(b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
     platforms = []
-    assert not advance_to_notice(place, b"id1", requested_at + 1490 * MS, platforms)
-    assert advance_to_notice(place, b"id1", requested_at + 1700 * MS, platforms)
+    assert not advance_to_notice(harness, b"id1", requested_at + 1490 * MS, platforms)
+    assert advance_to_notice(harness, b"id1", requested_at + 1700 * MS, platforms)
 
 
-def test_no_notice_overtakes_a_killed_process_s_unread_call(place):
+def test_no_notice_overtakes_a_killed_process_s_unread_call(harness):
     """Danger: only the log knows that a call was out, and the next process tells its end at once."""
-    send_accepted(place, b"id1", 3000 * MS, b"plain")
-    host, platforms = place.accept(place.host), []
-    called_at = place.clock.now
+    send_accepted(harness, b"id1", 3000 * MS, b"plain")
+    host, platforms = harness.accept(harness.host), []
+    called_at = harness.clock.now
     assert b"Req-Id: id1" in drain(host)
-    kill(place)
-    assert not advance_to_notice(place, b"id1", called_at + 1400 * MS, platforms)
-    assert advance_to_notice(place, b"id1", called_at + 1600 * MS, platforms)
+    kill_and_restart(harness)
+    assert not advance_to_notice(harness, b"id1", called_at + 1400 * MS, platforms)
+    assert advance_to_notice(harness, b"id1", called_at + 1600 * MS, platforms)
 
 
-def test_no_notice_directly_follows_a_call_written_late(place, monkeypatch):
+def test_no_notice_directly_follows_a_call_written_late(harness, monkeypatch):
     """Danger: the process is held up between its last look at the clock and the write."""
     write = HttpStream.send
 
     def delayed_send(stream, data, until):
         if stream.kind == "host":
-            place.clock.now += 150 * MS
+            harness.clock.now += 150 * MS
         write(stream, data, until)
 
     monkeypatch.setattr(HttpStream, "send", delayed_send)
-    requested_at = place.clock.now
-    send_accepted(place, b"id1", 30 * MS)
-    place.accept(place.host)
-    written_at, platforms = place.clock.now, []
+    requested_at = harness.clock.now
+    send_accepted(harness, b"id1", 30 * MS)
+    harness.accept(harness.host)
+    written_at, platforms = harness.clock.now, []
     assert written_at >= requested_at + 150 * MS
-    assert not advance_to_notice(place, b"id1", requested_at + 225 * MS, platforms)
-    assert advance_to_notice(place, b"id1", requested_at + 300 * MS, platforms)
+    assert not advance_to_notice(harness, b"id1", requested_at + 225 * MS, platforms)
+    assert advance_to_notice(harness, b"id1", requested_at + 300 * MS, platforms)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -14,14 +14,14 @@
 from molehill.config import ConfigError
 from molehill.core import events as ev
 from molehill.log_clock import EpochSource
-from molehill.relay import Process, Start
+from molehill.relay import Process, Startup
 from molehill.runtime.kernel import Disk, Kernel
 from molehill.runtime.log import Sink
 from molehill.runtime.stream import Stream
 from molehill.store import Store
 from tests.core_harness import MS, SECOND, ManualClock, drain, net_config
-from tests.place import ASK, Place, kill
-from tests.test_crossings import comes
+from tests.harness import REQUEST, RelayHarness, kill_and_restart
+from tests.test_races import accept_and_read
 
 HOUR = 3600 * SECOND
 
@@ -53,7 +53,7 @@
 
 
 @pytest.fixture
-def failing(tmp_path):
+def failing_harness(tmp_path):
     """A relay whose disk fails as the test says."""
     disk = FailingDisk()
 
@@ -62,72 +62,72 @@
         made.disk = disk
         return made
 
-    place = Place(tmp_path, machine)
-    place.disk = disk
-    yield place
-    place.close()
+    harness = RelayHarness(tmp_path, machine)
+    harness.disk = disk
+    yield harness
+    harness.close()
 
 
-def hand_in(place, client, ident, wanted=b"HTTP/1.1 202"):
-    client.send(ASK % ident)
-    return place.hear(client, wanted)
+def submit(harness, client, ident, wanted=b"HTTP/1.1 202"):
+    client.send(REQUEST % ident)
+    return harness.read_until(client, wanted)
 
 
 @pytest.mark.parametrize("torn", [1, 30, 100])
-def test_what_is_taken_on_behind_a_torn_record_outlives_a_kill(failing, torn):
+def test_callbacks_accepted_after_torn_record_survive_kill(failing_harness, torn):
     """Danger: after a write that failed half way, and a truncation that failed too, all that is written lies behind a torn record."""
-    client, disk = failing.client(), failing.disk
-    hand_in(failing, client, b"before")
+    client, disk = failing_harness.connect_client(), failing_harness.disk
+    submit(failing_harness, client, b"before")
     disk.left, disk.failing = torn, {"truncate": errno.EIO, "open": errno.EIO}
-    client.send(ASK % b"torn")
-    failing.hear(client, b"HTTP/1.1 503")
+    client.send(REQUEST % b"torn")
+    failing_harness.read_until(client, b"HTTP/1.1 503")
     disk.left = None
     taken = []
     for number in range(10):
-        client.send(ASK % b"after%d" % number)
-        if b" 202 " in failing.hear(client, b"HTTP/1.1 "):
+        client.send(REQUEST % b"after%d" % number)
+        if b" 202 " in failing_harness.read_until(client, b"HTTP/1.1 "):
             taken.append(f"after{number}")
     disk.failing = {}
-    kill(failing)
-    assert list(failing.relay.core.callbacks) == ["before", *taken]
+    kill_and_restart(failing_harness)
+    assert list(failing_harness.relay.core.callbacks) == ["before", *taken]
 
 
 @pytest.fixture
-def stepped(tmp_path, monkeypatch):
-    """A relay on the kernel's clocks, both moved by hand; `wall[0]`: how far the wall clock is off."""
-    clock, wall = ManualClock(), [1_700_000_000 * SECOND]
+def stepped_harness(tmp_path, monkeypatch):
+    """A relay on the kernel's clocks, both moved by hand; `wall_offset[0]`: how far the wall clock is off."""
+    clock, wall_offset = ManualClock(), [1_700_000_000 * SECOND]
     monkeypatch.setattr(time, "monotonic_ns", clock)
-    monkeypatch.setattr(time, "time_ns", lambda: clock.now + wall[0])
-    place = Place(tmp_path, lambda _: Kernel())
-    place.clock, place.wall = clock, wall
-    yield place
-    place.close()
+    monkeypatch.setattr(time, "time_ns", lambda: clock.now + wall_offset[0])
+    harness = RelayHarness(tmp_path, lambda _: Kernel())
+    harness.clock, harness.wall_offset = clock, wall_offset
+    yield harness
+    harness.close()
 
 
 @pytest.mark.parametrize("step", [HOUR, -HOUR, -10 * SECOND])
-def test_spans_go_on_over_a_restart_whatever_the_wall_clock_does(stepped, step):
+def test_wall_clock_step_moves_no_deadline_over_restart(stepped_harness, step):
     """Danger: a deadline kept as wall time ends a callback untried, or lets an overdue one go without its notice."""
-    client = stepped.client()
-    hand_in(stepped, client, b"id1")
-    stepped.advance(SECOND, 50 * MS)
-    stepped.wall[0] += step
-    kill(stepped)
-    assert not stepped.relay.notices.unanswered
-    comes(stepped, stepped.host, b"Req-Id: id1")
-    stepped.clock.now += 15 * SECOND  # it stands still until it is killed
-    stepped.wall[0] += step
-    kill(stepped)
-    stepped.advance(100 * MS)
-    assert list(stepped.relay.notices.unanswered) == ["id1"]
+    client = stepped_harness.connect_client()
+    submit(stepped_harness, client, b"id1")
+    stepped_harness.advance(SECOND, 50 * MS)
+    stepped_harness.wall_offset[0] += step
+    kill_and_restart(stepped_harness)
+    assert not stepped_harness.relay.notices.unanswered
+    accept_and_read(stepped_harness, stepped_harness.host, b"Req-Id: id1")
+    stepped_harness.clock.now += 15 * SECOND  # it stands still until it is killed
+    stepped_harness.wall_offset[0] += step
+    kill_and_restart(stepped_harness)
+    stepped_harness.advance(100 * MS)
+    assert list(stepped_harness.relay.notices.unanswered) == ["id1"]
 
 
 @pytest.mark.parametrize(
     "code", [errno.ECONNABORTED, errno.EPROTO, errno.EPERM, errno.ENETDOWN, errno.EOPNOTSUPP]
 )
-def test_while_accept_fails_all_other_connections_are_served(place, code):
+def test_accept_errors_do_not_block_other_connections(harness, code):
     """Danger: a loop that meets an error and goes on without a wait stops the whole relay."""
-    client, calls, listener = place.client(), [0], place.relay.clients.listener
-    place.advance(10 * MS)
+    client, calls, listener = harness.connect_client(), [0], harness.relay.clients.listener
+    harness.advance(10 * MS)
 
     class Failing:
         fileno = staticmethod(listener.fileno)
@@ -139,21 +139,21 @@
                 raise OSError(code, "accept")
             return listener.accept()
 
-    place.relay.clients.listener = Failing()
-    other = socket.create_connection(place.address)
-    place.open.append(other)
+    harness.relay.clients.listener = Failing()
+    other = socket.create_connection(harness.address)
+    harness.open_sockets.append(other)
     before = calls[0]
-    hand_in(place, client, b"id1")
-    place.advance(SECOND)
+    submit(harness, client, b"id1")
+    harness.advance(SECOND)
     assert (
         drain(client) == b"" and calls[0] - before < 300
     ), "it neither stops the others nor takes the core"
 
 
-def test_the_end_takes_the_connections_behind_one_that_is_gone(place):
+def test_shutdown_accepts_connections_after_aborted_one(harness):
     """Danger: at the last look at the listener, an aborted connection has all those behind it reset."""
-    listener, codes = place.relay.clients.listener, [errno.ECONNABORTED, errno.EPROTO]
-    place.relay.scheduler.cut(listener.fileno())
+    listener, codes = harness.relay.clients.listener, [errno.ECONNABORTED, errno.EPROTO]
+    harness.relay.scheduler.cancel_wait(listener.fileno())
 
     class Failing:
         fileno, close = staticmethod(listener.fileno), staticmethod(listener.close)
@@ -164,22 +164,22 @@
                 raise OSError(codes.pop(), "accept")
             return listener.accept()
 
-    client = place.client()
-    client.send(ASK % b"id1")
-    place.relay.clients.listener = Failing()
-    place.relay.clients.stop_accepting()
-    assert b"Connection: close" in place.hear(client, b"HTTP/1.1 202")
+    client = harness.connect_client()
+    client.send(REQUEST % b"id1")
+    harness.relay.clients.listener = Failing()
+    harness.relay.clients.stop_accepting()
+    assert b"Connection: close" in harness.read_until(client, b"HTTP/1.1 202")
 
 
-def begun(folder, disk, signals):
+def wait_for_process(folder, disk, signals):
     """A start on the kernel's clock and that disk, waited for; its process, or None if it was told to end."""
     machine = Kernel()
     machine.disk = disk
     config = replace(net_config(state=str(folder)), listen=("127.0.0.1", 0))
-    start = Start(config, machine, Sink())
-    if not start.wait(config, signals):
+    startup = Startup(config, machine, Sink())
+    if not startup.wait_until_ready(config, signals):
         return None
-    return Process(config, machine, Sink(), lambda old: old, start)
+    return Process(config, machine, Sink(), lambda old: old, startup)
 
 
 @pytest.fixture
@@ -203,7 +203,7 @@
         ("makedirs", "unlink"),
     ],
 )
-def test_a_start_waits_until_the_disk_lets_it(tmp_path, signals, calls, capfd):
+def test_start_waits_for_failing_disk(tmp_path, signals, calls, capfd):
     """Danger: a restart into a second of failing disk is a relay that will not start."""
     store = Store(str(tmp_path), 100_000, Disk())
     store.append([({"k": "rest", "key": "a", "until": 1}, b"")])
@@ -214,100 +214,96 @@
     disk, until = FailingDisk(), time.monotonic() + 0.3
     disk.failing = dict.fromkeys(calls, errno.EIO)
     Timer(0.3, disk.failing.clear).start()
-    process = begun(tmp_path, disk, signals[0])
+    process = wait_for_process(tmp_path, disk, signals[0])
     assert time.monotonic() >= until - 0.01 and process.core.cooldowns and not process.can_serve()
     assert "waiting for the disk" in capfd.readouterr().err
     process.store.close()
 
 
-def test_a_start_that_waits_for_its_disk_ends_at_sigterm(tmp_path, signals):
+def test_sigterm_ends_start_that_waits_for_disk(tmp_path, signals):
     disk = FailingDisk()
     disk.failing = {"open": errno.EIO}
     Timer(0.1, signals[1].send, [bytes([signal.SIGTERM])]).start()
-    assert begun(tmp_path, disk, signals[0]) is None
+    assert wait_for_process(tmp_path, disk, signals[0]) is None
 
 
 @pytest.mark.parametrize("code", [errno.ENOTDIR, errno.EACCES, errno.EROFS])
-def test_a_folder_that_can_t_be_used_ends_the_start_with_the_key(tmp_path, signals, code):
+def test_unusable_folder_ends_start_naming_the_key(tmp_path, signals, code):
     for call in ("lock", "open", "makedirs"):
         disk = FailingDisk()
         disk.failing = {call: code}
         with pytest.raises(ConfigError, match="ROUTER_STATE"):
-            begun(tmp_path / call, disk, signals[0])
+            wait_for_process(tmp_path / call, disk, signals[0])
 
 
-def test_while_the_log_takes_nothing_ends_are_kept_and_no_call_is_begun(failing):
+def test_no_result_is_lost_and_no_call_begins_while_log_fails(failing_harness):
     """Danger: an end that the log did not take is forgotten, and after a kill its callback runs once more; a launch that it refuses is
     asked for anew at once, each time with a connection of its own."""
-    client, disk = failing.client(), failing.disk
-    hand_in(failing, client, b"id1")
-    hand_in(failing, client, b"id2")  # waits for its turn
-    host = failing.accept(failing.host)
-    failing.hear(host, b"\r\n\r\nab")
+    client, disk = failing_harness.connect_client(), failing_harness.disk
+    submit(failing_harness, client, b"id1")
+    submit(failing_harness, client, b"id2")  # waits for its turn
+    host = failing_harness.accept(failing_harness.host)
+    failing_harness.read_until(host, b"\r\n\r\nab")
     disk.left, disk.failing = 0, {"open": errno.ENOSPC}
     host.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-    before = failing.relay.hosts.counts["connected"]
-    failing.advance(600 * MS)
-    assert failing.relay.hosts.counts["connected"] - before <= 1 and list(
-        failing.relay.core.callbacks
+    before = failing_harness.relay.hosts.counts["connected"]
+    failing_harness.advance(600 * MS)
+    assert failing_harness.relay.hosts.counts["connected"] - before <= 1 and list(
+        failing_harness.relay.core.callbacks
     ) == ["id2"]
     disk.left, disk.failing = None, {}
-    failing.advance(200 * MS)
-    assert b"Req-Id: id2" in failing.hear(host, b"\r\n\r\nab")
-    kill(failing)
+    failing_harness.advance(200 * MS)
+    assert b"Req-Id: id2" in failing_harness.read_until(host, b"\r\n\r\nab")
+    kill_and_restart(failing_harness)
     assert (
-        list(failing.relay.core.callbacks) == ["id2"]
-        and "id1" in failing.relay.core.recently_completed
+        list(failing_harness.relay.core.callbacks) == ["id2"]
+        and "id1" in failing_harness.relay.core.recently_completed
     )
 
 
 @pytest.mark.parametrize("works_again", [True, False])
-def test_an_end_that_the_log_does_not_take_is_told_once_it_does_or_its_time_is_up(
-    failing, works_again
-):
+def test_notice_waits_for_log_or_deadline(failing_harness, works_again):
     """Danger: told before, it is forgotten by a kill, and the next process tries what had its end."""
-    client, disk, told, platforms = failing.client(), failing.disk, b"", []
-    client.send(ASK.replace(b"Content", b"Req-Deadline-Ms: 3000\r\nContent") % b"id1")
-    failing.hear(client, b"HTTP/1.1 202")
-    due = failing.clock.now + 3 * SECOND
-    host = failing.accept(failing.host)
-    failing.hear(host, b"\r\n\r\nab")
+    client, disk, told, platforms = failing_harness.connect_client(), failing_harness.disk, b"", []
+    client.send(REQUEST.replace(b"Content", b"Req-Deadline-Ms: 3000\r\nContent") % b"id1")
+    failing_harness.read_until(client, b"HTTP/1.1 202")
+    due = failing_harness.clock.now + 3 * SECOND
+    host = failing_harness.accept(failing_harness.host)
+    failing_harness.read_until(host, b"\r\n\r\nab")
     disk.left, disk.failing = 0, {"open": errno.ENOSPC}
     host.send(b"HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n")  # had all its attempts
-    while b'"ref":"id1"' not in told and failing.clock.now < due + SECOND:
-        if works_again and failing.clock.now > due - SECOND:
+    while b'"ref":"id1"' not in told and failing_harness.clock.now < due + SECOND:
+        if works_again and failing_harness.clock.now > due - SECOND:
             disk.left, disk.failing = None, {}
-        failing.advance(10 * MS)
-        told += failing.platform_hears(platforms)
-    assert abs(failing.clock.now - (due - SECOND if works_again else due)) <= 250 * MS
+        failing_harness.advance(10 * MS)
+        told += failing_harness.read_at_platform(platforms)
+    assert abs(failing_harness.clock.now - (due - SECOND if works_again else due)) <= 250 * MS
 
 
 @pytest.mark.parametrize("works_again", [False, True])
-def test_an_end_that_no_log_had_is_not_told_in_another_way_by_the_next_process(
-    failing, works_again
-):
+def test_unlogged_result_is_not_contradicted_after_restart(failing_harness, works_again):
     """Danger: turned away by this process, failed by the next one, which finds it untried and late."""
-    client, disk, told, platforms = failing.client(), failing.disk, b"", []
-    failing.relay.engine.post(ev.PauseCalls(True))  # untried
-    client.send(ASK.replace(b"Content", b"Req-Deadline-Ms: 900\r\nContent") % b"id1")
-    failing.hear(client, b"HTTP/1.1 202")
-    due = failing.clock.now + 900 * MS
+    client, disk, told, platforms = failing_harness.connect_client(), failing_harness.disk, b"", []
+    failing_harness.relay.engine.post_event(ev.PauseCalls(True))  # untried
+    client.send(REQUEST.replace(b"Content", b"Req-Deadline-Ms: 900\r\nContent") % b"id1")
+    failing_harness.read_until(client, b"HTTP/1.1 202")
+    due = failing_harness.clock.now + 900 * MS
     disk.left, disk.failing = 0, {"open": errno.ENOSPC}
-    failing.relay.engine.carry(denied(failing.relay.core, "id1"))
-    while failing.clock.now < due + 200 * MS:
-        failing.advance(10 * MS)
-        told += failing.platform_hears(platforms)
+    failing_harness.relay.engine.execute_effects(denial_effects(failing_harness.relay.core, "id1"))
+    while failing_harness.clock.now < due + 200 * MS:
+        failing_harness.advance(10 * MS)
+        told += failing_harness.read_at_platform(platforms)
     disk.left, disk.failing = None, {}
     if works_again:
-        failing.advance(200 * MS)
-    kill(failing)
+        failing_harness.advance(200 * MS)
+    kill_and_restart(failing_harness)
     for _ in range(200):
-        failing.advance(10 * MS)
-        told += failing.platform_hears(platforms)
+        failing_harness.advance(10 * MS)
+        told += failing_harness.read_at_platform(platforms)
     assert told.count(b'"ref":"id1"') >= 2 and b"bounced" not in told
 
 
-def denied(core, ident):
+def denial_effects(core, ident):
     """The effects of an end that turns a callback away, of which the module knows."""
     core.effects = []
     core.inbox.append(interface.CallbackWithdrawn(ident))
@@ -318,9 +314,9 @@
 @pytest.mark.parametrize(
     "spoilt, untried", [(b'"k":"launch"', []), (b'"zone"', ["b"]), (b'"k":"health"', ["a", "b"])]
 )
-def test_a_launch_that_can_t_be_read_is_not_taken_for_none(place, spoilt, untried):
+def test_unreadable_attempt_record_does_not_mean_untried(harness, spoilt, untried):
     """Danger: with the record of its launch, one that must not run twice looks untried."""
-    core = place.relay.core
+    core = harness.relay.core
     for ident in "ab":
         core.load(
             {
@@ -330,7 +326,7 @@
                 "tenant": 0,
                 "key": None,
                 "destination": 3,
-                "due": place.clock.now + SECOND,
+                "due": harness.clock.now + SECOND,
                 "mark": None,
             },
             b"x",
@@ -349,7 +345,7 @@
 
 
 class Machine:
-    boot_id, clock, wall = "this", staticmethod(lambda: NOW), staticmethod(lambda: WALL)
+    boot_id, clock, wall_clock = "this", staticmethod(lambda: NOW), staticmethod(lambda: WALL)
 
 
 def clock_line(**changed):
@@ -377,27 +373,27 @@
         ([clock_line(at=7 + NOW + HOUR)], EpochSource.UNKNOWN, WALL - NOW),
     ],
 )
-def test_the_log_s_clock_goes_on_or_is_found_anew_by_the_wall_clock(lines, base, epoch):
+def test_log_clock_continues_or_falls_back_to_wall_clock(lines, base, epoch):
     assert log_clock.find_clock(lines, Machine) == log_clock.LogClock(epoch, base)
 
 
-def test_times_go_to_the_log_and_back_and_all_that_stands_in_it_is_moved(place):
+def test_all_times_in_log_records_are_shifted(harness):
     """Danger: a time that is not moved with the others means another moment to the next process."""
     clock = log_clock.LogClock(7, EpochSource.SAME_BOOT)
-    client = place.client()
-    hand_in(place, client, b"id1")
-    place.hear(place.accept(place.host), b"\r\n\r\nab")
-    place.relay.core.cooldowns["k"], place.relay.core.hosts.ejected["h1"] = (
-        place.clock.now,
-        place.clock.now,
+    client = harness.connect_client()
+    submit(harness, client, b"id1")
+    harness.read_until(harness.accept(harness.host), b"\r\n\r\nab")
+    harness.relay.core.cooldowns["k"], harness.relay.core.hosts.ejected["h1"] = (
+        harness.clock.now,
+        harness.clock.now,
     )
-    for record, _ in place.relay.core.snapshot():
+    for record, _ in harness.relay.core.snapshot():
         moved = clock.to_log(record)
         assert clock.from_log(moved) == record
         times = [
             key
             for key, value in record.items()
-            if isinstance(value, int) and abs(value - place.clock.now) < 60 * SECOND
+            if isinstance(value, int) and abs(value - harness.clock.now) < 60 * SECOND
         ]
         assert all(moved[key] == record[key] + 7 for key in times)
 
@@ -413,13 +409,13 @@
         errno.ENOMEM,
     ],
 )
-def test_an_error_of_this_machine_at_connect_says_nothing_of_the_host(place, monkeypatch, code):
+def test_local_connect_error_does_not_count_against_host(harness, monkeypatch, code):
     """Danger: hosts that are well are ejected, and callbacks lose their launches, for what this machine lacks."""
     tries, connect = [], Stream.connect
 
     def failing_connect(self, address, until):
-        if address == place.host.getsockname() and len(tries) < 40:
-            tries.append(place.clock.now)
+        if address == harness.host.getsockname() and len(tries) < 40:
+            tries.append(harness.clock.now)
             self.sock = type(
                 "Sock",
                 (),
@@ -432,22 +428,22 @@
         return connect(self, address, until)
 
     monkeypatch.setattr(Stream, "connect", failing_connect)
-    client = place.client()
-    hand_in(place, client, b"id1")
-    place.advance(500 * MS)
-    held, module = place.relay.core.callbacks["id1"], place.relay.core.module
+    client = harness.connect_client()
+    submit(harness, client, b"id1")
+    harness.advance(500 * MS)
+    held, module = harness.relay.core.callbacks["id1"], harness.relay.core.module
     assert (
         held.attempts == (held.current_attempt is not None)
         and [endpoint.state for endpoint in module.state.endpoints.values()] == ["open"]
         and [endpoint.failure_share for endpoint in module.state.endpoints.values()] == [0.0]
     )
     assert 2 <= len(tries) <= 30, "tried again, and not as fast as it fails"
-    place.advance(500 * MS)
-    place.hear(place.accept(place.host), b"Req-Id: id1")
+    harness.advance(500 * MS)
+    harness.read_until(harness.accept(harness.host), b"Req-Id: id1")
 
 
 @pytest.mark.parametrize("code", [errno.EINTR, errno.EALREADY])
-def test_a_connect_that_was_interrupted_goes_on(place, monkeypatch, code):
+def test_interrupted_connect_continues(harness, monkeypatch, code):
     connect = Stream.connect
 
     def interrupted(self, address, until):
@@ -463,34 +459,34 @@
         return connect(self, address, until)
 
     monkeypatch.setattr(Stream, "connect", interrupted)
-    client = place.client()
-    hand_in(place, client, b"id1")
-    place.hear(place.accept(place.host), b"Req-Id: id1")
+    client = harness.connect_client()
+    submit(harness, client, b"id1")
+    harness.read_until(harness.accept(harness.host), b"Req-Id: id1")
 
 
-def test_a_meeting_place_that_can_t_be_made_does_not_end_the_start(tmp_path, signals):
+def test_start_survives_missing_upgrade_socket(tmp_path, signals):
     """Danger: the folder takes no file, and the relay ends over what only an upgrade needs."""
-    machine, meet, failing = Kernel(), Kernel.meet, [True]
-    machine.meet = lambda folder: fail(errno.ENOSPC) if failing else meet(machine, folder)
+    machine, listen_for_successor, failing = Kernel(), Kernel.listen_for_successor, [True]
+    machine.listen_for_successor = (
+        lambda folder: fail(errno.ENOSPC) if failing else listen_for_successor(machine, folder)
+    )
     config = replace(
         net_config(state=str(tmp_path)), listen=("127.0.0.1", 0), admin=("127.0.0.1", 0)
     )
     process = Process(config, machine, Sink(), lambda old: old)
     process.clients.listen()
-    process.begin(signals[0])
+    process.begin_serving(signals[0])
     assert process.can_serve()
-    turn_until(process, lambda: True)
+    run_until(process, lambda: True)
     failing.clear()
-    turn_until(process, lambda: (tmp_path / Kernel.MEETING).exists())
+    run_until(process, lambda: (tmp_path / Kernel.UPGRADE_SOCKET).exists())
 
 
 @pytest.mark.parametrize(
     "call, code",
     [("tcp_socket", errno.ENFILE), ("tcp_socket", errno.ENOBUFS), ("bind", errno.ENOMEM)],
 )
-def test_a_listener_that_can_t_be_opened_for_a_moment_is_opened_later(
-    tmp_path, signals, call, code
-):
+def test_listener_is_retried_after_transient_error(tmp_path, signals, call, code):
     """Danger: a restart in a moment in which the machine lacks something is a relay that will not start."""
     machine, failing, make = Kernel(), [True], Kernel.tcp_socket
 
@@ -512,20 +508,18 @@
     config = replace(given, listen=("127.0.0.1", 0), admin=("127.0.0.1", 0))
     process = Process(config, machine, Sink(), lambda old: old)
     process.clients.listen()
-    process.begin(signals[0])
+    process.begin_serving(signals[0])
     assert not process.can_serve()
     failing.clear()
-    turn_until(process, lambda: process.can_serve() and process.start.admin.listener is not None)
-    for listener in (process.clients.listener, process.start.admin.listener):
+    run_until(process, lambda: process.can_serve() and process.startup.admin.listener is not None)
+    for listener in (process.clients.listener, process.startup.admin.listener):
         socket.create_connection(listener.getsockname()).close()
 
 
 @pytest.mark.parametrize("call", ["getsockopt", "close", "socket"])
-def test_calls_on_a_host_s_socket_that_fail_leave_no_descriptor_counted_and_no_launch_in_doubt(
-    place, monkeypatch, call
-):
+def test_socket_errors_leak_no_descriptor_and_no_attempt(harness, monkeypatch, call):
     """Danger: an error that nobody foresaw counts as a call that may have run, or its descriptor is counted for ever."""
-    failing, make = [True], place.relay.scheduler.machine.tcp_socket
+    failing, make = [True], harness.relay.scheduler.machine.tcp_socket
 
     def tcp_socket(address):
         if call == "socket" and failing:
@@ -548,14 +542,14 @@
             )
         return type("Sock", (), {**changes, "__getattr__": lambda _, name: getattr(sock, name)})()
 
-    place.relay.scheduler.machine.tcp_socket = tcp_socket
-    client = place.client()
-    client.send(ASK.replace(b"notice", b"plain") % b"id1")  # runs at most once
-    place.hear(client, b"HTTP/1.1 202")
-    place.advance(200 * MS)
+    harness.relay.scheduler.machine.tcp_socket = tcp_socket
+    client = harness.connect_client()
+    client.send(REQUEST.replace(b"notice", b"plain") % b"id1")  # runs at most once
+    harness.read_until(client, b"HTTP/1.1 202")
+    harness.advance(200 * MS)
     failing.clear()
-    comes(place, place.host, b"Req-Id: id1")
-    used = place.relay.budget.used
+    accept_and_read(harness, harness.host, b"Req-Id: id1")
+    used = harness.relay.budget.used
     assert used["host"] == 1 and used.get("notices", 0) <= 1 and used.get("discovery", 0) <= 1
 
 
@@ -563,19 +557,19 @@
     raise OSError(code, "made to fail")
 
 
-def turn_until(process, done):
+def run_until(process, done):
     until = time.monotonic() + 5
-    process.scheduler.turn(block=False)
+    process.scheduler.run_once(block=False)
     while not done():
         assert time.monotonic() < until
-        process.scheduler.turn()
+        process.scheduler.run_once()
 
 
-def test_what_is_refused_while_the_log_fails_leaves_nothing_to_be_written(failing):
+def test_rejected_requests_leave_no_unwritten_rows(failing_harness):
     """Danger: an outage of the disk for an hour is an hour of rows kept for later."""
-    client, disk = failing.client(), failing.disk
-    hand_in(failing, client, b"id0")
+    client, disk = failing_harness.connect_client(), failing_harness.disk
+    submit(failing_harness, client, b"id0")
     disk.left, disk.failing = 0, {"open": errno.ENOSPC}
     for number in range(1, 20):
-        hand_in(failing, client, b"id%d" % number, b"HTTP/1.1 503")
-    assert len(failing.relay.engine.unwritten) <= 1
+        submit(failing_harness, client, b"id%d" % number, b"HTTP/1.1 503")
+    assert len(failing_harness.relay.engine.unwritten_rows) <= 1
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -13,12 +13,12 @@
 
 def fill_buffer(buffer, data):
     while data:
-        with buffer.space() as space:
+        with buffer.free_space() as space:
             count = min(len(space), len(data))
             if not count:
                 return False
             space[:count] = data[:count]
-        buffer.filled(count)
+        buffer.mark_filled(count)
         data = data[count:]
     return True
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -400,7 +400,7 @@
 )
 def test_a_faulty_key_of_the_fleet_is_named(rows, key):
     with pytest.raises(configuration.ConfigError, match=key.replace(".", r"\.")):
-        configuration.check(fleet_given(**rows), {"ROUTER_STATE": "x"})
+        configuration.parse_config(fleet_given(**rows), {"ROUTER_STATE": "x"})
 
 
 def test_a_key_file_is_for_its_owner_alone(tmp_path):
@@ -410,16 +410,16 @@
     del rows["fleet"]["keys"]
     os.chmod(path, 0o644)
     with pytest.raises(configuration.ConfigError, match="others than its owner"):
-        configuration.check(rows, {"ROUTER_STATE": "x"})
+        configuration.parse_config(rows, {"ROUTER_STATE": "x"})
     os.chmod(path, 0o600)
-    made = configuration.check(rows, {"ROUTER_STATE": "x"})
+    made = configuration.parse_config(rows, {"ROUTER_STATE": "x"})
     assert (
         made.fleet.keys == [b"\xaa" * 16, b"\xbb" * 16]
         and made.sockets
-        == configuration.check(net_config_fields(), {"ROUTER_STATE": "x"}).sockets - 6
+        == configuration.parse_config(net_config_fields(), {"ROUTER_STATE": "x"}).sockets - 6
     )
-    assert configuration.check(net_config_fields(), {"ROUTER_STATE": "x"}).fleet is None
-    assert (configuration.ROUND, configuration.ALONE_AFTER) == (
+    assert configuration.parse_config(net_config_fields(), {"ROUTER_STATE": "x"}).fleet is None
+    assert (configuration.DEFAULT_ROUND, configuration.DEFAULT_ALONE_AFTER) == (
         Settings().round,
         Settings().alone_after,
     )
@@ -435,7 +435,7 @@
 
     before = load(fleet_given(seeds={"b": "127.0.0.1:7001", "c": "127.0.0.1:7002"}))
     assert load(fleet_given(), before).fleet.seeds == {"b": ("127.0.0.1", 7001)}
-    assert "fleet" in configuration.waiting(load(net_config_fields()), before)
+    assert "fleet" in configuration.changes_at_next_start(load(net_config_fields()), before)
 
 
 # In relays
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -12,8 +12,8 @@
 from molehill.http import discovery, hosts, notices
 from molehill.http.clients import FOR_NEW_CONNECTION, Clients
 from molehill.runtime import stream as stream_module
-from molehill.runtime.scheduler import CUT, LATE, READ, READY
-from molehill.runtime.stream import Broken
+from molehill.runtime.scheduler import CANCELLED, READ, READY, TIMED_OUT
+from molehill.runtime.stream import ConnectionBroken
 from tests.core_harness import MS, SECOND, NetHarness, Result, drain, net_config
 
 REQUEST = (
@@ -39,9 +39,9 @@
     theirs.send(b"x")
     net.settle()
     net.advance(1100 * MS)
-    net.scheduler.cut(ours.fileno())
+    net.scheduler.cancel_wait(ours.fileno())
     net.settle()
-    assert came == [READY, LATE, CUT] and not net.scheduler.waiting
+    assert came == [READY, TIMED_OUT, CANCELLED] and not net.scheduler.waiters
     for sock in (ours, theirs):
         sock.close()
 
@@ -55,7 +55,7 @@
 
     def parent():
         net.scheduler.spawn(lambda: 1 // 0)
-        net.scheduler.sleep(net.clock() + SECOND)
+        net.scheduler.sleep_until(net.clock() + SECOND)
         done.append("parent")
 
     net.scheduler.spawn(parent)
@@ -76,7 +76,7 @@
         net.scheduler.stopped = len(broken) == 2
         raise OSError("a fault")
 
-    net.scheduler.turn = turn
+    net.scheduler.run_once = turn
     net.scheduler.run()
     assert broken == ["loop"] * 3
 
@@ -93,7 +93,7 @@
         if len(tries) < 3:
             raise ValueError("a fault")
 
-    net.scheduler.spawn_kept(work)
+    net.scheduler.spawn_supervised(work)
     net.advance(SECOND)
     assert len(tries) == 3 and broken == ["kept_task"] * 2
 
@@ -101,8 +101,8 @@
 def test_refilling_beyond_the_buffer_closes_the_connection():
     net = NetHarness()
     stream, theirs = net.pair()
-    stream.refill(b"x" * (stream.buffer.most + 1))
-    assert not stream.open and net.budget.total() == 0 and drain(theirs) is None
+    stream.restore_unread(b"x" * (stream.buffer.max_size + 1))
+    assert not stream.is_open and net.budget.total() == 0 and drain(theirs) is None
 
 
 def test_a_full_budget_closes_idle_host_connections_first():
@@ -112,22 +112,26 @@
         def close():
             if net.budget.used.get(kind, 0):
                 closed.append(kind)
-                net.budget.give(kind)
+                net.budget.release(kind)
                 return True
             return False
 
         return close
 
-    net.budget.idlers.update(client=idle_closer("client"), host=idle_closer("host"))
-    assert net.budget.take("client") and net.budget.take("host") and net.budget.take("notices")
-    assert net.budget.take("client") and closed == ["host"]
-    assert net.budget.take("host") and closed == ["host", "client"] and net.budget.total() == 3
-    net.budget.quotas["client"] = 1
-    assert net.budget.take("client") and closed[2:] == [
+    net.budget.idle_closers.update(client=idle_closer("client"), host=idle_closer("host"))
+    assert (
+        net.budget.acquire("client")
+        and net.budget.acquire("host")
+        and net.budget.acquire("notices")
+    )
+    assert net.budget.acquire("client") and closed == ["host"]
+    assert net.budget.acquire("host") and closed == ["host", "client"] and net.budget.total() == 3
+    net.budget.kind_limits["client"] = 1
+    assert net.budget.acquire("client") and closed[2:] == [
         "client"
     ], "beyond its quota: one of its own"
-    net.budget.idlers.clear()
-    assert not net.budget.take("discovery") and net.budget.total() == 3
+    net.budget.idle_closers.clear()
+    assert not net.budget.acquire("discovery") and net.budget.total() == 3
 
 
 # Clients
@@ -144,7 +148,7 @@
     def connect(self):
         ours, theirs = socket.socketpair()
         theirs.setblocking(False)
-        assert self.net.budget.take("client")
+        assert self.net.budget.acquire("client")
         self.clients.open_connection(ours)
         return theirs
 
@@ -301,7 +305,9 @@
         assert arrived.submission.deadline == harness.net.clock() - counted + 480 * MS
         harness.answer_request(arrived)
         drain(sock)
-    assert harness.net.scheduler.most_stood == 5 * SECOND, "the worst is kept for whoever tells it"
+    assert (
+        harness.net.scheduler.longest_stall == 5 * SECOND
+    ), "the worst is kept for whoever tells it"
 
 
 @pytest.mark.parametrize("kept", [True, False])
@@ -369,7 +375,7 @@
     harness.net.settle()
     harness.net.clock.now += 5 * SECOND  # nobody came: that is no wait
     harness.net.settle()
-    harness.net.budget.most = 1  # no descriptor is to spare
+    harness.net.budget.limit = 1  # no descriptor is to spare
     late = socket.create_connection(harness.clients.listener.getsockname())
     late.setblocking(False)
     late.send(REQUEST % b"late")
@@ -377,7 +383,7 @@
     harness.net.settle()
     harness.net.advance(200 * MS, step=5 * MS)
     assert not harness.net.events
-    harness.net.budget.most = 50
+    harness.net.budget.limit = 50
     harness.net.advance(50 * MS, step=5 * MS)
     assert came + 480 * MS <= harness.net.events[-1].submission.deadline + 5 * MS <= came + 500 * MS
     harness.answer_request(harness.net.events[-1])
@@ -437,7 +443,7 @@
     assert (
         16 <= bound <= sockets // 3 // 2
     ), "at least half of what clients may hold is for what is under way"
-    harness.net.budget.most = sockets
+    harness.net.budget.limit = sockets
     pool, crowd = [harness.connect() for _ in range(8)], []
     for sock in pool + pool:
         harness.exchange(sock, HEALTH_REQUEST)
@@ -467,7 +473,7 @@
 def test_at_the_idle_limit_a_first_answer_closes_its_connection():
     harness = ClientsHarness(limits={"sockets": 128})
     bound = harness.clients.config.client_idle
-    harness.net.budget.most = 128
+    harness.net.budget.limit = 128
     pool = [harness.connect() for _ in range(bound)]
     for sock in pool + pool:
         assert b"close" not in harness.exchange(sock, HEALTH_REQUEST)
@@ -490,16 +496,16 @@
     served, silent = harness.connect(), [harness.connect() for _ in range(3)]
     harness.exchange(served, b"GET /health/live HTTP/1.1\r\n\r\n")
     hosts_closed = []
-    harness.net.budget.idlers["host"] = lambda: hosts_closed.append(1)
-    harness.net.budget.most = 4
+    harness.net.budget.idle_closers["host"] = lambda: hosts_closed.append(1)
+    harness.net.budget.limit = 4
     harness.net.advance(100 * MS)
-    assert not harness.net.budget.take("client"), "their first request may be on its way"
+    assert not harness.net.budget.acquire("client"), "their first request may be on its way"
     harness.net.advance(100 * MS)
     hosts_closed.clear()
-    assert harness.net.budget.take("client") and drain(silent[0]) is None and not hosts_closed
-    harness.net.budget.quotas["client"] = 4
+    assert harness.net.budget.acquire("client") and drain(silent[0]) is None and not hosts_closed
+    harness.net.budget.kind_limits["client"] = 4
     assert (
-        harness.net.budget.take("client")
+        harness.net.budget.acquire("client")
         and drain(silent[1]) is None
         and drain(served) == b""
         and not hosts_closed
@@ -508,8 +514,8 @@
     assert drain(silent[2]) is None, "owed an end within three seconds of connecting, crowd or not"
     assert (
         drain(served) == b""
-        and harness.net.budget.take("client")
-        and harness.net.budget.take("client")
+        and harness.net.budget.acquire("client")
+        and harness.net.budget.acquire("client")
     )
     assert drain(served) is None, "two seconds idle: nobody needs it"
 
@@ -527,7 +533,7 @@
             pass
         except OSError:
             break
-        harness.net.scheduler.turn(block=False)
+        harness.net.scheduler.run_once(block=False)
     assert (
         turns < 200 and not harness.net.events and not harness.clients.connections
     ), "an error or a close, and not at the end"
@@ -535,7 +541,7 @@
     sock.send(b"GET /nothing HTTP/1.1\r\n\r\n" * 100)
     other.send(b"GET /health/live HTTP/1.1\r\n\r\n")
     for _ in range(5):
-        harness.net.scheduler.turn(block=False)
+        harness.net.scheduler.run_once(block=False)
     assert drain(other).startswith(b"HTTP/1.1 200") and 0 < drain(sock).count(b"404") < 10
 
 
@@ -646,7 +652,7 @@
             harness.hosts.abort_call(call)  # as the core has it where the log takes nothing
 
     harness.on_begun = begun
-    harness.connect_errors.append(Broken("refused"))
+    harness.connect_errors.append(ConnectionBroken("refused"))
     harness.call()
     assert not seen and [e.outcomes[0].result for e in harness.net.events] == [Result.NO_CONNECT]
     harness.call()
@@ -657,14 +663,14 @@
 def test_a_connection_up_at_the_call_deadline_carries_nothing(monkeypatch):
     """Danger: both are found in one turn, and the callback is sent on after its end."""
     harness = HostsHarness(monkeypatch)
-    opened = stream_module.opened
+    opened = stream_module.open_stream
 
     def late(*given, **more):
         made = opened(*given, **more)
         harness.net.clock.now += 2 * SECOND
         return made
 
-    monkeypatch.setattr("molehill.runtime.stream.opened", late)
+    monkeypatch.setattr("molehill.runtime.stream.open_stream", late)
     harness.call(span=2 * SECOND)
     assert [(e.outcomes[0].result, e.outcomes[0].unsent) for e in harness.net.events] == [
         (Result.NOT_SENT, True)
@@ -789,13 +795,13 @@
     harness.call("d")  # a copy that crosses the next request is no answer to it
     assert [e.outcomes[0].result for e in harness.net.events[3:]] == [
         Result.RESET
-    ] and not stream.open
+    ] and not stream.is_open
 
 
 @pytest.mark.parametrize("span", [SECOND, 2 * SECOND])
 def test_a_connect_timeout_is_the_host_s_failure(monkeypatch, span):
     harness = HostsHarness(monkeypatch)
-    harness.connect_errors.append(hosts.Late())
+    harness.connect_errors.append(hosts.TimedOut())
     harness.call(span=span)
     assert [(e.outcomes[0].result, e.outcomes[0].unsent) for e in harness.net.events] == [
         (Result.NO_CONNECT, False)
@@ -910,9 +916,9 @@
 @pytest.mark.parametrize(
     "refusal,result",
     [
-        (Broken("ECONNREFUSED"), Result.NO_CONNECT),
-        (hosts.Late(), Result.NO_CONNECT),
-        (hosts.Short("EMFILE"), Result.NOT_SENT),
+        (ConnectionBroken("ECONNREFUSED"), Result.NO_CONNECT),
+        (hosts.TimedOut(), Result.NO_CONNECT),
+        (hosts.NoDescriptor("EMFILE"), Result.NOT_SENT),
     ],
 )
 def test_a_failed_connect_is_not_sent_when_descriptors_are_short(monkeypatch, refusal, result):
@@ -947,7 +953,7 @@
     (stream,) = harness.hosts.idle_connections["h1"]
 
     def breaks(data, until):
-        raise Broken("ECONNRESET")
+        raise ConnectionBroken("ECONNRESET")
 
     stream.send = breaks
     harness.call()
@@ -957,7 +963,7 @@
     )
     (kept,) = harness.hosts.idle_connections["h1"]
     harness.net.clock.now += 9001 * MS
-    assert harness.hosts.idle_connections.take("h1") is None and not kept.open, "too long idle"
+    assert harness.hosts.idle_connections.take("h1") is None and not kept.is_open, "too long idle"
 
 
 def test_idle_connections_close_in_time_and_on_request(monkeypatch):
@@ -1260,7 +1266,7 @@
         )
     scopes = [event.scope for event in harness.net.events]
     assert interface.ListScope.FAILED not in scopes, "no failure that the module would rest after"
-    harness.connect_errors += [hosts.Late()] * 2  # the next two never come up
+    harness.connect_errors += [hosts.TimedOut()] * 2  # the next two never come up
     harness.net.advance(11_600 * MS)
     assert harness.net.events[-1].scope is interface.ListScope.FAILED
 
@@ -1344,7 +1350,7 @@
 
 def test_a_notice_is_retried_until_answered(monkeypatch):
     harness = NoticesHarness(monkeypatch)
-    harness.connect_errors += [Broken("refused")] * 5
+    harness.connect_errors += [ConnectionBroken("refused")] * 5
     harness.send_notices("a")
     harness.net.advance(4 * SECOND)
     assert len(harness.peers) >= 1 and not harness.net.events
@@ -1357,7 +1363,7 @@
 
 def test_a_notice_survives_three_quick_failures_in_time(monkeypatch):
     harness = NoticesHarness(monkeypatch)
-    harness.connect_errors += [Broken("refused")] * 3
+    harness.connect_errors += [ConnectionBroken("refused")] * 3
     harness.send_notices("a")
     harness.net.advance(100 * MS, step=5 * MS)
     assert drain(harness.peers[0])
@@ -1415,13 +1421,13 @@
     begun, woke = net.clock.now, []
 
     def sleeper():
-        net.scheduler.sleep(begun + 10 * MS)
+        net.scheduler.sleep_until(begun + 10 * MS)
         woke.append(net.clock.now - begun)
 
     def busy():
         for _ in range(5):
             net.clock.now += 30 * MS
-            net.scheduler.pause()
+            net.scheduler.yield_now()
 
     for work in (sleeper, busy, busy, busy):
         net.scheduler.spawn(work)
--- a/tests/test_permission.py
+++ b/tests/test_permission.py
@@ -10,7 +10,7 @@
 from molehill.core.callback import PendingCall
 from molehill.core.permission import Refusal
 from tests.core_harness import SECOND, callback_class
-from tests.place import ASK
+from tests.harness import REQUEST
 
 NOW = 100 * SECOND
 REFUSAL_BY_EFFECT = {
@@ -55,16 +55,16 @@
     )
 
 
-def test_forbidden_module_choice_is_not_sent(place):
+def test_forbidden_module_choice_is_not_sent(harness):
     """The rules hold whatever the module decides: what it had to exclude is a broken invariant, and is not sent."""
-    client = place.client()
+    client = harness.connect_client()
     for ident in (b"id1", b"id2"):
-        client.send(ASK % ident)
-        place.hear(client, b"HTTP/1.1 202")
-    place.hear(place.accept(place.host), b"\r\n\r\nab")
-    core = place.relay.core
+        client.send(REQUEST % ident)
+        harness.read_until(client, b"HTTP/1.1 202")
+    harness.read_until(harness.accept(harness.host), b"\r\n\r\nab")
+    core = harness.relay.core
     for ident, why in (("id1", "another call"), ("id2", "an earlier one")):
-        out = PendingCall(99, "h1", [(ident, SECOND)], place.clock.now)
+        out = PendingCall(99, "h1", [(ident, SECOND)], harness.clock.now)
         core.queued_calls[99] = out
         with pytest.raises(AssertionError, match=f"may_be_sent.*{why}"):
             core._start_call(out)
@@ -93,13 +93,13 @@
 
 
 @pytest.mark.parametrize("ended", [False, True])
-def test_410_distinguishes_ended_from_withdrawn(place, ended):
-    client = place.client()
-    client.send(ASK % b"id1")
-    place.hear(client, b"HTTP/1.1 202")
-    place.hear(place.accept(place.host), b"\r\n\r\nab")
-    core = place.relay.core
-    callback, now = core.callbacks["id1"], place.clock.now
+def test_410_distinguishes_ended_from_withdrawn(harness, ended):
+    client = harness.connect_client()
+    client.send(REQUEST % b"id1")
+    harness.read_until(client, b"HTTP/1.1 202")
+    harness.read_until(harness.accept(harness.host), b"\r\n\r\nab")
+    core = harness.relay.core
+    callback, now = core.callbacks["id1"], harness.clock.now
     if ended:
         core._end_callback(callback, False, 0)
     over = ev.AttemptOutcome(
