--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -9,86 +9,84 @@
 import pytest
 
 from molehill.core.reducer import Core
-from molehill.relay import log_room
+from molehill.relay import log_limits
 from molehill.store import HEADER
 from tests.core_harness import MS, SECOND, drain, net_config, net_config_fields
-from tests.place import ASK
+from tests.harness import REQUEST
 
 
-def test_a_callback_goes_through_and_one_of_its_key_waits_for_it(place):
-    client = place.client()
-    client.send(ASK % b"id1")
-    place.hear(client, b"HTTP/1.1 202")
-    client.send(ASK % b"id2")
-    place.hear(client, b"HTTP/1.1 202")
-    host = place.accept(place.host)
-    text = place.hear(host, b"\r\n\r\nab")
+def test_callbacks_of_a_key_are_delivered_in_order(harness):
+    client = harness.connect_client()
+    client.send(REQUEST % b"id1")
+    harness.read_until(client, b"HTTP/1.1 202")
+    client.send(REQUEST % b"id2")
+    harness.read_until(client, b"HTTP/1.1 202")
+    host = harness.accept(harness.host)
+    text = harness.read_until(host, b"\r\n\r\nab")
     assert b"Req-Id: id1" in text and b"id2" not in text
     host.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-    assert b"Req-Id: id2" in place.hear(host, b"\r\n\r\nab")
-    assert list(place.relay.core.callbacks) == ["id2"]
+    assert b"Req-Id: id2" in harness.read_until(host, b"\r\n\r\nab")
+    assert list(harness.relay.core.callbacks) == ["id2"]
 
 
-def test_after_sigterm_it_serves_on_lets_go_and_what_it_holds_is_taken_up_by_the_next(place):
-    client, other = place.client(), place.client()
-    client.send(ASK % b"id1")
-    place.hear(client, b"HTTP/1.1 202")
-    host = place.accept(place.host)
-    place.hear(host, b"\r\n\r\nab")
-    place.relay.shutdown.begin()
+def test_sigterm_drains_and_restart_resumes_pending_callbacks(harness):
+    client, other = harness.connect_client(), harness.connect_client()
+    client.send(REQUEST % b"id1")
+    harness.read_until(client, b"HTTP/1.1 202")
+    host = harness.accept(harness.host)
+    harness.read_until(host, b"\r\n\r\nab")
+    harness.relay.shutdown.begin()
     other.send(b"GET /health/live HTTP/1.1\r\n\r\n")
-    place.advance(2900 * MS)
+    harness.advance(2900 * MS)
     assert b"200 OK" in drain(other)
-    other.send(ASK % b"id2")
-    assert b"Connection: close" not in place.hear(other, b"HTTP/1.1 202")
-    late = place.client()
-    place.advance(100 * MS)
+    other.send(REQUEST % b"id2")
+    assert b"Connection: close" not in harness.read_until(other, b"HTTP/1.1 202")
+    late = harness.connect_client()
+    harness.advance(100 * MS)
     for sock, number in ((other, b"id3"), (late, b"id4")):
-        sock.send(ASK % number)
-        assert b"Connection: close" in place.hear(sock, b"HTTP/1.1 202")
+        sock.send(REQUEST % number)
+        assert b"Connection: close" in harness.read_until(sock, b"HTTP/1.1 202")
     with pytest.raises(ConnectionRefusedError):
-        socket.create_connection(place.address)
-    assert not place.relay.scheduler.stopped
-    place.advance(500 * MS)
-    assert place.relay.scheduler.stopped, "well before 3.7 s"
-    place.relay.store.close()
-    first, _ = place.relay, place.start()
+        socket.create_connection(harness.address)
+    assert not harness.relay.scheduler.stopped
+    harness.advance(500 * MS)
+    assert harness.relay.scheduler.stopped, "well before 3.7 s"
+    harness.relay.store.close()
+    first, _ = harness.relay, harness.start_process()
     assert (
-        list(place.relay.core.callbacks)
+        list(harness.relay.core.callbacks)
         == ["id1", "id2", "id3", "id4"]
         == list(first.core.callbacks)
     )
-    place.advance(Core.LIST_TIMEOUT)  # discovery says nothing here
-    again = place.accept(place.host)
-    assert b"Req-Id: id1" in place.hear(
+    harness.advance(Core.LIST_TIMEOUT)  # discovery says nothing here
+    again = harness.accept(harness.host)
+    assert b"Req-Id: id1" in harness.read_until(
         again, b"\r\n\r\nab"
     ), "in the order in which they were handed in"
-    assert place.relay.core.callbacks["id1"].attempts == first.core.callbacks["id1"].attempts + 1
+    assert harness.relay.core.callbacks["id1"].attempts == first.core.callbacks["id1"].attempts + 1
 
 
-def test_a_notice_that_is_owed_is_sent_after_a_restart_too(place):
-    client = place.client()
-    client.send(ASK % b"id1")
-    place.hear(client, b"HTTP/1.1 202")
-    place.relay.store.close()
-    place.clock.now += 16 * SECOND
-    place.start()
-    assert not place.relay.core.callbacks or place.relay.core.callbacks["id1"].state == "owed"
+def test_pending_notice_is_sent_after_restart(harness):
+    client = harness.connect_client()
+    client.send(REQUEST % b"id1")
+    harness.read_until(client, b"HTTP/1.1 202")
+    harness.relay.store.close()
+    harness.clock.now += 16 * SECOND
+    harness.start_process()
+    assert not harness.relay.core.callbacks or harness.relay.core.callbacks["id1"].state == "owed"
     for _ in range(3):
-        platform = place.accept(place.platform)
-        text = place.hear(platform, b"\r\n\r\n")
+        platform = harness.accept(harness.platform)
+        text = harness.read_until(platform, b"\r\n\r\n")
         if b"/v2/finals" in text:
             break
     assert b'{"ref":"id1","result":"dead"}' in text
     platform.send(b"HTTP/1.1 204 No Content\r\n\r\n")
-    place.advance(50 * MS)
-    assert not place.relay.core.callbacks
+    harness.advance(50 * MS)
+    assert not harness.relay.core.callbacks
 
 
-def test_on_sighup_a_faulty_file_is_named_and_a_good_one_moves_watch_and_notices(
-    place, tmp_path, monkeypatch
-):
-    relay, file, said = place.relay, tmp_path / "config.json", []
+def test_sighup_rejects_bad_file_and_moves_discovery(harness, tmp_path, monkeypatch):
+    relay, file, said = harness.relay, tmp_path / "config.json", []
     relay.log = type(
         "Log",
         (),
@@ -99,18 +97,18 @@
     )()
     monkeypatch.setenv("ROUTER_CONFIG", str(file))
     # as it was at the start
-    monkeypatch.setenv("ROUTER_DISCOVERY", "%s:%d" % place.platform.getsockname())
+    monkeypatch.setenv("ROUTER_DISCOVERY", "%s:%d" % harness.platform.getsockname())
     relay.signals, other = socket.socketpair()
-    place.open += [other, relay.signals]
+    harness.open_sockets += [other, relay.signals]
     relay.signals.setblocking(False)
-    relay.scheduler.spawn(relay.on_signals)
-    client = place.client()
-    client.send(ASK % b"id1")
-    place.hear(client, b"HTTP/1.1 202")
-    place.hear(place.accept(place.host), b"\r\n\r\nab")
-    old = [place.accept(place.platform)]
-    place.advance(15_100 * MS, step=50 * MS)
-    old.append(place.accept(place.platform))
+    relay.scheduler.spawn(relay.read_signals)
+    client = harness.connect_client()
+    client.send(REQUEST % b"id1")
+    harness.read_until(client, b"HTTP/1.1 202")
+    harness.read_until(harness.accept(harness.host), b"\r\n\r\nab")
+    old = [harness.accept(harness.platform)]
+    harness.advance(15_100 * MS, step=50 * MS)
+    old.append(harness.accept(harness.platform))
     assert list(relay.notices.unanswered) == ["id1"], "posted, and not answered"
     for text in (
         "{",
@@ -119,14 +117,14 @@
     ):
         file.write_text(text)
         other.send(bytes([signal.SIGHUP]))
-        place.turn()
+        harness.run_rounds()
     assert [text.split(":")[0] for text in said] == [
         "ROUTER_CONFIG",
         "discovery",
         "settings.allowed",
     ]
-    assert relay.config.discovery == place.platform.getsockname()
-    moved = place.listener()
+    assert relay.config.discovery == harness.platform.getsockname()
+    moved = harness.open_listener()
     file.write_text(
         json.dumps(
             net_config_fields(
@@ -135,55 +133,55 @@
         )
     )
     other.send(bytes([signal.SIGHUP]))
-    place.turn()
+    harness.run_rounds()
     texts = []
-    for sock in (place.accept(moved), place.accept(moved)):
-        texts.append(place.hear(sock, b"\r\n\r\n"))
+    for sock in (harness.accept(moved), harness.accept(moved)):
+        texts.append(harness.read_until(sock, b"\r\n\r\n"))
         if b"finals" in texts[-1]:
             sock.send(b"HTTP/1.1 204 No Content\r\n\r\n")
-    place.advance(50 * MS)
+    harness.advance(50 * MS)
     assert sorted(text.split(b" HTTP")[0] for text in texts) == [
         b"GET /registry/instances",
         b"POST /v2/finals",
     ]
     assert said[-1]["at_next_start"] == ["listen", "state", "disk"] and not relay.core.callbacks
     other.send(bytes([signal.SIGTERM, signal.SIGHUP, signal.SIGTERM]))
-    place.advance(3600 * MS, step=50 * MS)
+    harness.advance(3600 * MS, step=50 * MS)
     assert relay.scheduler.stopped and client.send(b"x")
 
 
-def test_a_relay_that_was_told_to_end_goes_from_state_to_state_and_reads_nothing_that_it_can_t_answer(
-    place,
+def test_shutdown_reads_no_request_that_it_cannot_answer(
+    harness,
 ):
     """Danger: a request that gets whole in the very turn in which the relay ends is read, never answered, and lost."""
-    relay, client = place.relay, place.client()
-    client.send(ASK % b"id1")
-    place.hear(client, b"HTTP/1.1 202")  # its call is out at a host that hangs
-    seen, moved = [], relay.shutdown.move
-    relay.shutdown.move = lambda state: (
-        seen.append((state, (place.clock.now - began) // (100 * MS))),
+    relay, client = harness.relay, harness.connect_client()
+    client.send(REQUEST % b"id1")
+    harness.read_until(client, b"HTTP/1.1 202")  # its call is out at a host that hangs
+    seen, moved = [], relay.shutdown.change_state
+    relay.shutdown.change_state = lambda state: (
+        seen.append((state, (harness.clock.now - began) // (100 * MS))),
         moved(state),
     )
-    began = place.clock.now
+    began = harness.clock.now
     for _ in range(3):
         relay.shutdown.begin()  # told again, it goes on with the first
-    place.advance(2900 * MS)
-    client.send(ASK % b"id2")
-    assert b"Connection: close" not in place.hear(client, b"HTTP/1.1 202")
-    other = place.client()
-    place.advance(200 * MS)
+    harness.advance(2900 * MS)
+    client.send(REQUEST % b"id2")
+    assert b"Connection: close" not in harness.read_until(client, b"HTTP/1.1 202")
+    other = harness.connect_client()
+    harness.advance(200 * MS)
     with pytest.raises(OSError):
-        socket.create_connection(place.address)
-    other.send((ASK % b"id3")[:-1])
-    place.advance(300 * MS)
+        socket.create_connection(harness.address)
+    other.send((REQUEST % b"id3")[:-1])
+    harness.advance(300 * MS)
     assert (
         drain(client) is None and not relay.scheduler.stopped
     ), "idle ones are closed, one with a request begun is waited for"
-    place.advance(began + 3499 * MS - place.clock.now)
-    place.clock.now = began + 3510 * MS
-    place.turn(1)
+    harness.advance(began + 3499 * MS - harness.clock.now)
+    harness.clock.now = began + 3510 * MS
+    harness.run_rounds(1)
     other.send(b"b")  # between two looks at what has come
-    place.turn(3)
+    harness.run_rounds(3)
     assert (
         relay.scheduler.stopped
         and "id3" not in relay.core.callbacks
@@ -198,35 +196,33 @@
     ]
 
 
-def test_a_log_with_a_torn_tail_and_a_record_that_can_t_be_read_is_read_and_the_relay_says_so(
-    place, capfd
-):
+def test_torn_and_unreadable_log_records_are_reported(harness, capfd):
     """Danger: one odd record keeps the relay from its start, or what was cut off is told to nobody."""
-    client = place.client()
-    client.send(ASK % b"id1")
-    place.hear(client, b"HTTP/1.1 202")
-    place.relay.store.close()
+    client = harness.connect_client()
+    client.send(REQUEST % b"id1")
+    harness.read_until(client, b"HTTP/1.1 202")
+    harness.relay.store.close()
     payload = b"[" * 100_000 + b"\n"
-    with open(place.relay.store.path, "ab") as log:
+    with open(harness.relay.store.path, "ab") as log:
         log.write(HEADER.pack(len(payload), crc32(payload)) + payload + b"torn")
     capfd.readouterr()
-    place.start()
+    harness.start_process()
     said = capfd.readouterr().err
     assert "level='warning' event='log read' cut=4 held=1 odd=1" in said and list(
-        place.relay.core.callbacks
+        harness.relay.core.callbacks
     ) == ["id1"]
 
 
-def test_the_log_s_files_leave_room_on_the_disk_and_in_memory():
+def test_log_limits_leave_room_on_disk_and_in_memory():
     for disk, memory in ((3 * 10**6, 192 * 10**6), (10**9, 64 * 10**6)):
-        files, owed = log_room(replace(net_config(), disk=disk, memory=memory))
+        files, owed = log_limits(replace(net_config(), disk=disk, memory=memory))
         assert files < disk and files < memory // 3 and owed * 2 < files
 
 
-def test_a_failed_write_has_the_log_written_anew_and_nobody_is_refused_for_it(place, monkeypatch):
-    store, errors, failing = place.relay.store, [], []
+def test_failed_write_rewrites_log_without_rejections(harness, monkeypatch):
+    store, errors, failing = harness.relay.store, [], []
     monkeypatch.setattr(
-        place.relay.engine,
+        harness.relay.engine,
         "log",
         type(
             "Log",
@@ -236,21 +232,21 @@
     )
     write = store._write
     store._write = lambda fd, data: False if failing and failing.pop() else write(fd, data)
-    client, host = place.client(), None
+    client, host = harness.connect_client(), None
     for number in range(6):
         failing[:] = [True] if number > 2 else []
-        client.send(ASK % b"id%d" % number)
-        place.hear(client, b"HTTP/1.1 202")
+        client.send(REQUEST % b"id%d" % number)
+        harness.read_until(client, b"HTTP/1.1 202")
         assert not failing
-        host = host or place.accept(place.host)
-        place.hear(host, b"\r\n\r\nab")
+        host = host or harness.accept(harness.host)
+        harness.read_until(host, b"\r\n\r\nab")
         host.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-        place.advance(20 * MS)
+        harness.advance(20 * MS)
     assert (
         not errors
-        and not place.relay.core.callbacks
-        and list(place.relay.core.recently_completed) == [f"id{n}" for n in range(6)]
+        and not harness.relay.core.callbacks
+        and list(harness.relay.core.recently_completed) == [f"id{n}" for n in range(6)]
     )
     store.close()
-    place.start()
-    assert not place.relay.core.callbacks and place.relay.core.log_bytes_used == 0
+    harness.start_process()
+    assert not harness.relay.core.callbacks and harness.relay.core.log_bytes_used == 0
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -84,11 +84,11 @@
 def test_site_settings_match_site_file(path):
     site = tomllib.loads(path.read_text())
     given = settings_of(site)
-    made = config.check(net_config_fields(settings=given), {})
+    made = config.parse_config(net_config_fields(settings=given), {})
     rows = made.settings.callback_classes
-    assert list(made.categories) == [c["name"] for c in site["class"]] and list(made.tenants) == [
-        t["name"] for t in site["tenant"]
-    ]
+    assert list(made.callback_classes) == [c["name"] for c in site["class"]] and list(
+        made.tenants
+    ) == [t["name"] for t in site["tenant"]]
     for row, c in zip(rows, site["class"]):
         assert (row.time_limit, row.target_latency, row.deduplication_window) == (
             c["deadline_ms"] * MS,
@@ -113,4 +113,4 @@
         "grades": [*given["grades"][:-1], {**given["grades"][-1], "semantics": "perhaps"}],
     }
     with pytest.raises(config.ConfigError, match=rf"settings\.grades\.{len(rows) - 1}\.semantics"):
-        config.check(net_config_fields(settings=broken), {})
+        config.parse_config(net_config_fields(settings=broken), {})
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -130,7 +130,7 @@
     assert read(tmp_path)[1] == ROWS[:1] + kept + ROWS[:2]
 
 
-@pytest.mark.parametrize("call", ["close", "rename", "is_file"])
+@pytest.mark.parametrize("call", ["close", "rename", "is_same_file"])
 def test_failed_rewrite_leaves_one_usable_log(tmp_path, call):
     """Danger: after a failing close, or a rename that is done and reports a failure, the file without a name is written on."""
     store, _ = read(tmp_path)
@@ -149,10 +149,10 @@
             os.rename(old, new)
 
     store.disk = FailingDisk()
-    assert store.rewrite(ROWS[3:]) is (call != "is_file")
+    assert store.rewrite(ROWS[3:]) is (call != "is_same_file")
     store.disk = Disk()
     assert store.append(ROWS[:1])
-    assert read(tmp_path)[1] == (ROWS if call == "is_file" else ROWS[3:]) + ROWS[:1]
+    assert read(tmp_path)[1] == (ROWS if call == "is_same_file" else ROWS[3:]) + ROWS[:1]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -10,22 +10,22 @@
 from molehill.runtime.kernel import Disk, Kernel
 from molehill.runtime.trace import Step, Trace
 from tests.core_harness import MS, SECOND, ManualClock
-from tests.place import ASK, Place
+from tests.harness import REQUEST, RelayHarness
 
 
-def test_a_callback_s_story_is_told_in_order_by_its_id(tmp_path):
+def test_show_prints_steps_of_a_callback_in_order(tmp_path):
     path = tmp_path / "trace"
-    place = Place(tmp_path / "state", trace={"file": str(path)})
-    client = place.client()
-    client.send(ASK.replace(b"Content", b"Req-Deadline-Ms: 30\r\nContent") % b"id1")
-    place.hear(client, b"HTTP/1.1 202")
+    harness = RelayHarness(tmp_path / "state", trace={"file": str(path)})
+    client = harness.connect_client()
+    client.send(REQUEST.replace(b"Content", b"Req-Deadline-Ms: 30\r\nContent") % b"id1")
+    harness.read_until(client, b"HTTP/1.1 202")
     client.close()
-    place.hear(place.accept(place.host), b"\r\n\r\nab")
+    harness.read_until(harness.accept(harness.host), b"\r\n\r\nab")
     platforms, heard = [], b""
     while b'"ref":"id1"' not in heard:
-        place.advance(5 * MS)
-        heard += place.platform_hears(platforms)
-    place.close()
+        harness.advance(5 * MS)
+        heard += harness.read_at_platform(platforms)
+    harness.close()
     told = CliRunner().invoke(command, ["show", str(path), "id1"]).output
     steps = [line.split(" ms  ")[1].split("  ")[0] for line in told.splitlines()]
     closed = steps.pop(steps.index(Step.CONNECTION_CLOSED.value))
@@ -36,7 +36,7 @@
     assert CliRunner().invoke(command, ["show", str(path), "id2"]).exit_code == 2
 
 
-def test_a_call_written_or_unread_behind_its_end_is_listed(tmp_path):
+def test_calls_after_the_final_result_are_listed(tmp_path):
     def rows(*steps):
         return [
             {"at": n, "id": "a", **facts, "step": step} for n, (step, facts) in enumerate(steps)
@@ -61,7 +61,7 @@
         Disk.rename(old, new)
 
 
-def test_the_file_stays_within_its_room_and_a_disk_that_fails_stops_nothing(tmp_path):
+def test_trace_stays_within_its_limit_and_survives_disk_errors(tmp_path):
     machine, path, room = Kernel(ManualClock()), tmp_path / "trace", 4000
     machine.disk = FailingDisk()
     trace = Trace(machine, str(path), room)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -8,24 +8,24 @@
 import pytest
 
 from molehill import interface, upgrade
-from molehill.relay import Process, Start
+from molehill.relay import Process, Startup
 from molehill.runtime.kernel import Kernel
 from molehill.runtime.log import Sink
-from molehill.runtime.stream import Broken
+from molehill.runtime.stream import ConnectionBroken
 from tests.core_harness import MS, SECOND, drain, first_endpoint
-from tests.place import Place
+from tests.harness import RelayHarness
 
-ASK = b"POST /api HTTP/1.1\r\nReq-Id: %s\r\nReq-Kind: %s\r\nX-Consignee: dest=3\r\nCookie: subject=k\r\nContent-Length: 2\r\n\r\nab"
-DONE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+REQUEST = b"POST /api HTTP/1.1\r\nReq-Id: %s\r\nReq-Kind: %s\r\nX-Consignee: dest=3\r\nCookie: subject=k\r\nContent-Length: 2\r\n\r\nab"
+DELIVERED = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
-class Two(Place):
+class UpgradeHarness(RelayHarness):
     def __init__(self, folder):
         # schedulers that run; what the file says otherwise by now
-        self.live, self.file = [], {}
+        self.running_schedulers, self.reloaded_values = [], {}
         super().__init__(folder)
         self.address = self.old.clients.listener.getsockname()
-        self.turn()
+        self.run_rounds()
 
     def config(self):
         made = super().config(admin="127.0.0.1:1")
@@ -43,59 +43,59 @@
             settings=replace(made.settings, max_calls=4, callback_classes=rows),
         )
 
-    def start(self):
+    def start_process(self):
         """A process that has begun, or, while another has the folder, one that looks for the lock."""
         config = self.config()
-        start = Start(config, Kernel(self.clock), Sink())
+        startup = Startup(config, Kernel(self.clock), Sink())
         signals, other = socket.socketpair()
         signals.setblocking(False)
-        self.open += [signals, other]
-        self.live.append(start.scheduler)
-        if start.lock is None:
-            start.successor = upgrade.Successor(start, signals)
-            start.successor.begin()
-            start.signals, start.given_config = signals, config
-            return start
-        self.old = self.run(start, config, signals)
+        self.open_sockets += [signals, other]
+        self.running_schedulers.append(startup.scheduler)
+        if startup.lock is None:
+            startup.successor = upgrade.Successor(startup, signals)
+            startup.successor.begin()
+            startup.signals, startup.given_config = signals, config
+            return startup
+        self.old = self.begin_process(startup, config, signals)
         return self.old
 
-    def run(self, start, config, signals):
+    def begin_process(self, startup, config, signals):
         process = Process(
             config,
-            start.scheduler.machine,
+            startup.scheduler.machine,
             Sink(),
-            lambda _: replace(self.config(), **self.file),
-            start,
+            lambda _: replace(self.config(), **self.reloaded_values),
+            startup,
         )
-        process.clients.listen(start.estate and start.estate.listener)
-        process.begin(signals)
+        process.clients.listen(startup.handover and startup.handover.listener)
+        process.begin_serving(signals)
         return process
 
-    def turn(self, rounds=40):
+    def run_rounds(self, rounds=40):
         for _ in range(rounds):
-            for scheduler in [s for s in self.live if not s.stopped]:
-                scheduler.turn(block=False)
+            for scheduler in [s for s in self.running_schedulers if not s.stopped]:
+                scheduler.run_once(block=False)
 
-    def succeed(self, start):
+    def finish_upgrade(self, startup):
         """Turns both until the next process has the folder, and has it begin."""
         for _ in range(400):
             self.advance(5 * MS)
-            if start.scheduler.stopped:
-                assert start.found()
-                made = self.run(start, start.given_config, start.signals)
+            if startup.scheduler.stopped:
+                assert startup.finish_wait()
+                made = self.begin_process(startup, startup.given_config, startup.signals)
                 self.advance(10 * MS)
                 return made
         raise AssertionError("no lock came")
 
-    def client(self, data=b""):
+    def connect_client(self, data=b""):
         sock = socket.create_connection(self.address)
         sock.setblocking(False)
-        self.open.append(sock)
+        self.open_sockets.append(sock)
         sock.send(data) if data else None
         self.advance(20 * MS)
         return sock
 
-    def calls(self):
+    def accept_calls(self):
         """Accepts what has come to the host; gives its connections."""
         found = []
         for _ in range(20):
@@ -105,39 +105,42 @@
             except BlockingIOError:
                 continue
             found[-1].setblocking(False)
-            self.open.append(found[-1])
+            self.open_sockets.append(found[-1])
         return found
 
 
 @pytest.fixture
-def two(tmp_path):
-    made = Two(tmp_path)
+def harness(tmp_path):
+    made = UpgradeHarness(tmp_path)
     yield made
     made.close()
 
 
-def test_calls_connections_and_what_is_learnt_pass_and_nothing_runs_twice_or_is_cut(two):
-    clients = [two.client(ASK % (b"id%d" % n, b"notice" if n < 2 else b"plain")) for n in range(4)]
+def test_upgrade_keeps_calls_connections_and_learned_state(harness):
+    clients = [
+        harness.connect_client(REQUEST % (b"id%d" % n, b"notice" if n < 2 else b"plain"))
+        for n in range(4)
+    ]
     assert all(b"202" in drain(sock) for sock in clients)
-    hosts = two.calls()
+    hosts = harness.accept_calls()
     texts = [drain(sock) for sock in hosts]
     ids = [text.split(b"Req-Id: ")[1][:3] for text in texts]
     assert (
         len(ids) == 2 and b"id0" in ids and b"id1" not in ids
     ), "a key's next waits, the window is two"
-    hosts[0].send(DONE[:20])
-    hosts[1].send(DONE[:-1])  # half an answer, in its head and in its body
+    hosts[0].send(DELIVERED[:20])
+    hosts[1].send(DELIVERED[:-1])  # half an answer, in its head and in its body
     half, whole, silent = (
-        two.client((ASK % (b"id5", b"plain"))[:30]),
-        two.client((ASK % (b"id4", b"plain"))[:-1]),
-        two.client(),
+        harness.connect_client((REQUEST % (b"id5", b"plain"))[:30]),
+        harness.connect_client((REQUEST % (b"id4", b"plain"))[:-1]),
+        harness.connect_client(),
     )
-    limiter = first_endpoint(two.old.core.module).limiter
+    limiter = first_endpoint(harness.old.core.module).limiter
     limiter.window = 2.5
-    new = two.succeed(two.start())
+    new = harness.finish_upgrade(harness.start_process())
     assert (
-        two.old.given
-        and not two.old.can_serve()
+        harness.old.handed_over
+        and not harness.old.can_serve()
         and new.can_serve()
         and first_endpoint(new.core.module).limiter.window == 2.5
     )
@@ -147,10 +150,10 @@
         "id2",
         "id3",
     ]
-    for sock, rest in ((hosts[0], DONE[20:]), (hosts[1], DONE[-1:])):
+    for sock, rest in ((hosts[0], DELIVERED[20:]), (hosts[1], DELIVERED[-1:])):
         assert drain(sock) == b"", "no connection is closed and nothing is written again"
         sock.send(rest)
-    two.advance(50 * MS)
+    harness.advance(50 * MS)
     assert (
         new.core.metrics.end_counts["notice"]["fulfilled"]
         + new.core.metrics.end_counts["plain"]["fulfilled"]
@@ -159,28 +162,28 @@
     assert all(
         b"Req-Id" in drain(sock) for sock in hosts
     ), "kept connections go on, in order of the key"
-    half.send((ASK % (b"id5", b"plain"))[30:])
+    half.send((REQUEST % (b"id5", b"plain"))[30:])
     whole.send(b"b")
-    silent.send(ASK % (b"id6", b"plain"))
-    clients[0].send(ASK % (b"id7", b"notice"))
-    late = two.client(ASK % (b"id8", b"plain"))
+    silent.send(REQUEST % (b"id6", b"plain"))
+    clients[0].send(REQUEST % (b"id7", b"notice"))
+    late = harness.connect_client(REQUEST % (b"id8", b"plain"))
     assert all(b"202" in drain(sock) for sock in (half, whole, silent, clients[0], late))
     assert {"id4", "id5", "id6", "id7", "id8"} <= set(new.core.callbacks)
-    two.old.on_signal(15)
-    two.turn()
-    assert two.old.scheduler.stopped and len(new.hosts.running_calls) == 3
-    third = two.succeed(two.start())  # and once more
+    harness.old.handle_signal(15)
+    harness.run_rounds()
+    assert harness.old.scheduler.stopped and len(new.hosts.running_calls) == 3
+    third = harness.finish_upgrade(harness.start_process())  # and once more
     assert third.can_serve() and set(third.core.callbacks) == set(new.core.callbacks)
 
 
-def test_a_call_that_is_not_written_whole_is_launched_again_and_one_over_in_a_call_rests_its_key(
-    two,
+def test_unwritten_call_is_sent_again_after_upgrade(
+    harness,
 ):
-    two.client(ASK % (b"id0", b"notice"))
-    running = two.old.hosts.running_calls[1]
+    harness.connect_client(REQUEST % (b"id0", b"notice"))
+    running = harness.old.hosts.running_calls[1]
     running.is_written = False  # as while its connection comes up
-    new = two.succeed(two.start())
-    assert new.core.callbacks["id0"].attempts <= 1 and len(two.calls()) >= 1
+    new = harness.finish_upgrade(harness.start_process())
+    assert new.core.callbacks["id0"].attempts <= 1 and len(harness.accept_calls()) >= 1
     assert new.core.metrics.relayed <= 1 and not new.core.callbacks["id0"].ran_at
 
 
@@ -189,116 +192,123 @@
 
 @pytest.mark.parametrize("who", ["new", "old"])
 @pytest.mark.parametrize("step", range(ROWS))
-def test_a_kill_of_either_process_at_each_step_loses_nothing(two, monkeypatch, who, step):
+def test_kill_at_any_handover_step_loses_nothing(harness, monkeypatch, who, step):
     """Danger: two owners, or none. Whoever is left serves, holds all that was taken on, and writes the log alone."""
     for n in range(3):
-        assert b"202" in drain(two.client(ASK % (b"id%d" % n, b"plain")))
+        assert b"202" in drain(harness.connect_client(REQUEST % (b"id%d" % n, b"plain")))
     # and one has ended by a notice that is not answered
-    owed = two.old.core.callbacks["id2"]
-    two.old.core.effects = []
-    two.old.core._end_callback(owed, True, 0)
-    two.old.core.inbox.append(interface.CallbackWithdrawn("id2"))
-    two.old.engine.carry(two.old.core.effects)
-    hosts, seen, take = two.calls(), [], upgrade.Successor.take
-
-    def new_dies(self, estate, message, body, fd):
-        more = take(self, estate, message, body, fd)
+    owed = harness.old.core.callbacks["id2"]
+    harness.old.core.effects = []
+    harness.old.core._end_callback(owed, True, 0)
+    harness.old.core.inbox.append(interface.CallbackWithdrawn("id2"))
+    harness.old.engine.execute_effects(harness.old.core.effects)
+    hosts, seen, receive_row = harness.accept_calls(), [], upgrade.Successor.receive_row
+
+    def new_dies(self, handover, message, body, fd):
+        more = receive_row(self, handover, message, body, fd)
         seen.append(message["k"])
         if len(seen) == step + 1:
-            raise Broken("killed")  # closes what the kernel would
+            raise ConnectionBroken("killed")  # closes what the kernel would
         return more
 
     def old_dies(self, message, until, body=b"", fd=None):
         seen.append(message["k"])
         if len(seen) != step + 2:  # its own first word is the hello
             return send(self, message, until, body, fd)
-        two.live.remove(two.old.scheduler)
-        for sock in [s.sock for s in two.old.hosts.streams.values()] + [
-            two.old.clients.listener,
-            two.old.handover_server.listener,
+        harness.running_schedulers.remove(harness.old.scheduler)
+        for sock in [s.sock for s in harness.old.hosts.streams.values()] + [
+            harness.old.clients.listener,
+            harness.old.handover_server.listener,
             self.sock,
         ]:
             sock.close()
-        os.close(two.old.lock)
-        two.old.scheduler.hub.switch()
+        os.close(harness.old.lock)
+        harness.old.scheduler.hub.switch()
 
-    send = upgrade.Line.send
+    send = upgrade.MessageChannel.send
     if who == "new":
-        monkeypatch.setattr(upgrade.Successor, "take", new_dies)
-        start = two.start()
-        two.live.remove(start.scheduler)
+        monkeypatch.setattr(upgrade.Successor, "receive_row", new_dies)
+        startup = harness.start_process()
+        harness.running_schedulers.remove(startup.scheduler)
         for _ in range(60):
-            start.scheduler.turn(block=False)
-            two.advance(5 * MS)
+            startup.scheduler.run_once(block=False)
+            harness.advance(5 * MS)
             if len(seen) > step:
                 break
         monkeypatch.undo()
-        two.advance(200 * MS)
-        left = two.old
-        assert not two.calls(), "each call goes on where it was, on its own connection"
+        harness.advance(200 * MS)
+        left = harness.old
+        assert not harness.accept_calls(), "each call goes on where it was, on its own connection"
     else:
-        monkeypatch.setattr(upgrade.Line, "send", old_dies)
-        start = two.start()
-        left = two.succeed(start)
-        two.address = left.clients.listener.getsockname()
+        monkeypatch.setattr(upgrade.MessageChannel, "send", old_dies)
+        startup = harness.start_process()
+        left = harness.finish_upgrade(startup)
+        harness.address = left.clients.listener.getsockname()
     assert len(seen) > step, "every step there is was cut off"
     assert left.can_serve() and {"id0", "id1", "id2"} == set(left.core.callbacks)
-    assert b"202" in drain(two.client(ASK % (b"id3", b"plain")))
+    assert b"202" in drain(harness.connect_client(REQUEST % (b"id3", b"plain")))
     for _ in range(12):
-        for sock in hosts + two.calls():
+        for sock in hosts + harness.accept_calls():
             hosts.append(sock) if sock not in hosts else None
             if drain(sock):
-                sock.send(DONE)
-        two.advance(500 * MS)
+                sock.send(DELIVERED)
+        harness.advance(500 * MS)
     assert (
         list(left.core.callbacks) == ["id2"] == list(left.notices.unanswered)
         and left.core.metrics.end_counts["plain"]["fulfilled"] == 3
     )
 
 
-def test_a_file_that_only_the_old_process_was_told_of_counts_in_the_new_one(two):
-    start, made = two.start(), two.config()  # it has read the file by now
-    two.file = {
+def test_new_process_applies_file_reloaded_by_the_old(harness):
+    startup, made = harness.start_process(), harness.config()  # it has read the file by now
+    harness.reloaded_values = {
         "settings": replace(
             made.settings, max_attempts=2, callback_classes=made.settings.callback_classes[:1]
         ),
-        "categories": {"notice": 0},
+        "callback_classes": {"notice": 0},
     }
-    two.old.on_signal(1)
-    new = two.succeed(start)
+    harness.old.handle_signal(1)
+    new = harness.finish_upgrade(startup)
     assert (
         new.core.settings.max_attempts == 2 == new.core.module.state.settings.max_attempts
-        and new.config.categories == {"notice": 0}
-    )
-    assert b"400" in drain(two.client(ASK % (b"id0", b"plain"))) and b"202" in drain(
-        two.client(ASK % (b"id1", b"notice"))
+        and new.config.callback_classes == {"notice": 0}
     )
+    assert b"400" in drain(
+        harness.connect_client(REQUEST % (b"id0", b"plain"))
+    ) and b"202" in drain(harness.connect_client(REQUEST % (b"id1", b"notice")))
 
 
 @pytest.mark.parametrize("step", [0, 5, ROWS - 1])
-def test_one_that_hangs_midway_is_not_waited_for_and_can_never_write_later(two, monkeypatch, step):
+def test_successor_that_hangs_can_never_write_later(harness, monkeypatch, step):
     """Danger: it wakes after the old one has gone on, and takes itself for the owner. Its word finds no line any more."""
     for n in range(3):
-        two.client(ASK % (b"id%d" % n, b"plain"))
-    seen, take, waking = [], upgrade.Successor.take, []
+        harness.connect_client(REQUEST % (b"id%d" % n, b"plain"))
+    seen, receive_row, waking = [], upgrade.Successor.receive_row, []
 
-    def hangs(self, estate, message, body, fd):
+    def hangs(self, handover, message, body, fd):
         seen.append(message["k"])
         if len(seen) == step + 1:
-            two.live.remove(start.scheduler)
-            waking.append(start.scheduler)
-            start.scheduler.sleep(two.clock.now)  # its next turn comes when it wakes
-        return take(self, estate, message, body, fd)
-
-    monkeypatch.setattr(upgrade.Successor, "take", hangs)
-    start = two.start()
-    two.advance(3 * SECOND)
-    assert waking and two.old.can_serve() and not two.old.given and not two.old.engine.busy
-    assert b"202" in drain(two.client(ASK % (b"id3", b"plain")))
-    two.live += waking
+            harness.running_schedulers.remove(startup.scheduler)
+            waking.append(startup.scheduler)
+            startup.scheduler.sleep_until(harness.clock.now)  # its next turn comes when it wakes
+        return receive_row(self, handover, message, body, fd)
+
+    monkeypatch.setattr(upgrade.Successor, "receive_row", hangs)
+    startup = harness.start_process()
+    harness.advance(3 * SECOND)
+    assert (
+        waking
+        and harness.old.can_serve()
+        and not harness.old.handed_over
+        and not harness.old.engine.is_busy
+    )
+    assert b"202" in drain(harness.connect_client(REQUEST % (b"id3", b"plain")))
+    harness.running_schedulers += waking
     # asked again, the old one hands over after all
-    new = two.succeed(start)
-    assert two.old.given and set(new.core.callbacks) | set(new.core.recently_completed) >= {
+    new = harness.finish_upgrade(startup)
+    assert harness.old.handed_over and set(new.core.callbacks) | set(
+        new.core.recently_completed
+    ) >= {
         "id0",
         "id1",
         "id2",
@@ -306,107 +316,109 @@
     }
 
 
-def test_one_killed_right_after_its_word_leaves_all_to_the_next_start(two, monkeypatch):
+def test_kill_after_confirmation_leaves_all_to_next_start(harness, monkeypatch):
     for n in range(3):
-        two.client(ASK % (b"id%d" % n, b"plain"))
-    send, take, got = upgrade.Line.send, upgrade.Successor.take, []
+        harness.connect_client(REQUEST % (b"id%d" % n, b"plain"))
+    send, receive_row, got = upgrade.MessageChannel.send, upgrade.Successor.receive_row, []
     monkeypatch.setattr(
         upgrade.Successor,
-        "take",
-        lambda self, estate, *row: (got.append(estate), take(self, estate, *row))[1],
+        "receive_row",
+        lambda self, handover, *row: (got.append(handover), receive_row(self, handover, *row))[1],
     )
 
     def last(self, message, *rest, **more):
         send(self, message, *rest, **more)
         if message["k"] == "mine":
-            two.live.remove(start.scheduler)
+            harness.running_schedulers.remove(startup.scheduler)
             self.sock.close()
-            start.scheduler.hub.switch()
+            startup.scheduler.hub.switch()
 
-    monkeypatch.setattr(upgrade.Line, "send", last)
-    start = two.start()
-    two.advance(100 * MS)
-    assert two.old.given and not two.old.can_serve()
+    monkeypatch.setattr(upgrade.MessageChannel, "send", last)
+    startup = harness.start_process()
+    harness.advance(100 * MS)
+    assert harness.old.handed_over and not harness.old.can_serve()
     monkeypatch.undo()
     # what the kernel closes with a process
     got[-1].close(Kernel())
-    third = two.start()
-    two.advance(20 * MS)
+    third = harness.start_process()
+    harness.advance(20 * MS)
     assert third.can_serve() and set(third.core.callbacks) == {"id0", "id1", "id2"}
 
 
 @pytest.mark.parametrize(
     "reply", [None, b'{"k":"no","why":"version 9"}\n', b"noise", b'{"k":"odd"}\n', b"[]\n"]
 )
-def test_a_process_that_says_nothing_or_another_language_is_waited_for_and_the_lock_decides(
-    two, reply, monkeypatch
-):
-    two.live.remove(two.old.scheduler)  # it hangs
-    start = two.start()
+def test_unintelligible_process_is_waited_for_until_lock_is_free(harness, reply, monkeypatch):
+    harness.running_schedulers.remove(harness.old.scheduler)  # it hangs
+    startup = harness.start_process()
     for _ in range(60):
-        two.advance(50 * MS)
+        harness.advance(50 * MS)
         try:
-            sock, _ = two.old.handover_server.listener.accept()
+            sock, _ = harness.old.handover_server.listener.accept()
         except BlockingIOError:
             continue
-        two.open.append(sock)
+        harness.open_sockets.append(sock)
         sock.send(reply) if reply else None
-    assert not start.scheduler.stopped and Kernel().disk.lock(two.folder) is None
-    two.old.handover_server.listener.close()
-    two.old.clients.listener.close()
-    os.close(two.old.lock)
-    assert two.succeed(start).can_serve()
+    assert not startup.scheduler.stopped and Kernel().disk.lock(harness.folder) is None
+    harness.old.handover_server.listener.close()
+    harness.old.clients.listener.close()
+    os.close(harness.old.lock)
+    assert harness.finish_upgrade(startup).can_serve()
 
 
-def test_told_to_end_while_it_waits_it_ends_and_the_other_goes_on(two):
-    two.live.remove(two.old.scheduler)
-    start = two.start()
-    two.open[-1].send(bytes([1, 15]))
-    two.advance(50 * MS)
-    assert start.scheduler.stopped and not start.found()
+def test_sigterm_while_waiting_for_lock_ends_only_successor(harness):
+    harness.running_schedulers.remove(harness.old.scheduler)
+    startup = harness.start_process()
+    harness.open_sockets[-1].send(bytes([1, 15]))
+    harness.advance(50 * MS)
+    assert startup.scheduler.stopped and not startup.finish_wait()
 
 
-def test_a_file_that_is_read_in_the_middle_of_a_hand_over_counts_for_the_next_process(two):
+def test_sighup_during_handover_applies_to_new_process(harness):
     """Danger: SIGHUP comes once the rows are made, and discovery's new address is known to nobody who serves."""
-    old, moved = two.old, two.listener().getsockname()
-    give = old.give
+    old, moved = harness.old, harness.open_listener().getsockname()
+    prepare_handover = old.prepare_handover
 
-    def crossed(began):
-        rows = give(began)
-        two.file = {"discovery": moved, "discovery_in_file": "%s:%d" % moved}
-        old.on_signal(signal.SIGHUP)
+    def crossed(started_at):
+        rows = prepare_handover(started_at)
+        harness.reloaded_values = {"discovery": moved, "discovery_in_file": "%s:%d" % moved}
+        old.handle_signal(signal.SIGHUP)
         return rows
 
-    old.give = crossed
-    made = two.succeed(two.start())
+    old.prepare_handover = crossed
+    made = harness.finish_upgrade(harness.start_process())
     assert made.config.discovery == moved and made.discovery.address_changes == 1
 
 
 @pytest.mark.parametrize("moment", ["lock", "mine"])
-def test_a_start_that_is_told_to_end_as_it_takes_over_drops_nothing(two, monkeypatch, moment):
+def test_sigterm_during_takeover_drops_no_connection(harness, monkeypatch, moment):
     """Danger: it has every connection by then, or is about to, and ends with all of them unanswered."""
-    client = two.client()
-    start = two.start()
-    other, send, take = two.open[-1], upgrade.Line.send, upgrade.Successor.take
+    client = harness.connect_client()
+    startup = harness.start_process()
+    other, send, receive_row = (
+        harness.open_sockets[-1],
+        upgrade.MessageChannel.send,
+        upgrade.Successor.receive_row,
+    )
 
-    def told_then_takes(self, estate, message, body, fd):
+    def told_then_takes(self, handover, message, body, fd):
         if message["k"] == moment:
-            self.heard(bytes([signal.SIGTERM]))
-        return take(self, estate, message, body, fd)
+            self.record_signals(bytes([signal.SIGTERM]))
+        return receive_row(self, handover, message, body, fd)
 
     def sends_then_told(self, message, *given, **named):
         send(self, message, *given, **named)
         if message["k"] == moment:
             other.send(bytes([signal.SIGTERM]))
 
-    monkeypatch.setattr(upgrade.Successor, "take", told_then_takes)
-    monkeypatch.setattr(upgrade.Line, "send", sends_then_told)
-    two.advance(100 * MS)
-    assert start.scheduler.stopped
-    if start.found():
-        made = two.run(start, start.given_config, start.signals)
-        two.advance(10 * MS)
-        assert made.shutdown.told is not None
-    client.send(ASK % (b"id1", b"notice"))
-    two.advance(100 * MS)
+    monkeypatch.setattr(upgrade.Successor, "receive_row", told_then_takes)
+    monkeypatch.setattr(upgrade.MessageChannel, "send", sends_then_told)
+    harness.advance(100 * MS)
+    assert startup.scheduler.stopped
+    if startup.finish_wait():
+        made = harness.begin_process(startup, startup.given_config, startup.signals)
+        harness.advance(10 * MS)
+        assert made.shutdown.requested_at is not None
+    client.send(REQUEST % (b"id1", b"notice"))
+    harness.advance(100 * MS)
     assert b" 202 " in (drain(client) or b"")
