--- a/benchmarks/detectors.py
+++ b/benchmarks/detectors.py
@@ -12,79 +12,93 @@
 from molehill.membership.member import ALIVE, LOST, MS, SUSPECT
 
 
-class Core:
-    """What tests/members.py drives: `out`, `syncs`, `news`, `peers` by name, `tick`, `turn`, `hear`, `due`."""
-
-    def __init__(self, settings, name, address, number, seeds, chance, now, names):
-        self.set, self.name, self.chance, self.next = settings, name, chance, now
-        self.me = SimpleNamespace(name=name, number=number, process=lambda: (number, 0))
-        self.out, self.syncs, self.news = [], [], []
+class Detector:
+    """What tests/simulated_fleet.py drives: `outbox`, `pending_syncs`, `events`, `peers` by name, `tick`, `advance_clock`, `receive`, `next_deadline`."""
+
+    def __init__(self, settings, name, address, generation, seeds, random_source, now, names):
+        self.settings, self.name, self.random_source, self.next_period_at = (
+            settings,
+            name,
+            random_source,
+            now,
+        )
+        self.own_identity = SimpleNamespace(
+            name=name, generation=generation, process_key=lambda: (generation, 0)
+        )
+        self.outbox, self.pending_syncs, self.events = [], [], []
         self.peers = {
-            n: SimpleNamespace(who=SimpleNamespace(name=n), state=ALIVE) for n in names if n != name
+            n: SimpleNamespace(identity=SimpleNamespace(name=n), state=ALIVE)
+            for n in names
+            if n != name
         }
         self.standing, self.seeds = "connected", seeds
-        self.began = now
+        self.started_at = now
 
-    def turn(self, now) -> None:
+    def advance_clock(self, now) -> None:
         pass
 
-    def due(self):
-        return self.next
+    def next_deadline(self):
+        return self.next_period_at
 
-    def believe(self, name, state) -> None:
+    def set_state(self, name, state) -> None:
         peer = self.peers[name]
         if peer.state != state:
             peer.state = state
-            self.news.append(("member", {"name": name, "now": state, "by": self.name}))
+            self.events.append(("member", {"name": name, "now": state, "by": self.name}))
 
-    def say(self, name, what) -> None:
-        self.out.append(((name, 7000), what))
+    def send(self, name, message) -> None:
+        self.outbox.append(((name, 7000), message))
 
 
-class Accrual(Core):
+class Accrual(Detector):
     # gaps remembered; suspected, and taken for lost, at that level (as published: 8; twice that)
-    GAPS, LEVEL, LOST_AT = 100, 8.0, 16.0
-
-    def __init__(self, *given):
-        super().__init__(*given)
-        self.gaps = defaultdict(lambda: deque([self.set.round / MS], maxlen=self.GAPS))
-        self.last = {name: self.began for name in self.peers}
+    WINDOW_SIZE, SUSPECT_PHI, LOST_PHI = 100, 8.0, 16.0
 
-    def level(self, name, now) -> float:
-        gaps, waited = self.gaps[name], (now - self.last[name]) / MS
-        mean = sum(gaps) / len(gaps)
-        spread = max(sqrt(sum((g - mean) ** 2 for g in gaps) / len(gaps)), self.set.floor / MS)
-        return -log10(max(0.5 * erfc((waited - mean) / spread / sqrt(2)), 1e-300))
+    def __init__(self, *arguments):
+        super().__init__(*arguments)
+        self.intervals = defaultdict(
+            lambda: deque([self.settings.protocol_period / MS], maxlen=self.WINDOW_SIZE)
+        )
+        self.last_heartbeat_at = {name: self.started_at for name in self.peers}
+
+    def phi(self, name, now) -> float:
+        intervals, elapsed = self.intervals[name], (now - self.last_heartbeat_at[name]) / MS
+        mean = sum(intervals) / len(intervals)
+        deviation = max(
+            sqrt(sum((interval - mean) ** 2 for interval in intervals) / len(intervals)),
+            self.settings.min_ack_timeout / MS,
+        )
+        return -log10(max(0.5 * erfc((elapsed - mean) / deviation / sqrt(2)), 1e-300))
 
     def tick(self, now) -> None:
-        if now >= self.next:
-            self.next = now + self.set.round
+        if now >= self.next_period_at:
+            self.next_period_at = now + self.settings.protocol_period
             for name in self.peers:
-                self.say(name, "beat")
+                self.send(name, "beat")
         for name in self.peers:
-            level = self.level(name, now)
-            self.believe(
-                name, LOST if level > self.LOST_AT else SUSPECT if level > self.LEVEL else ALIVE
+            phi = self.phi(name, now)
+            self.set_state(
+                name, LOST if phi > self.LOST_PHI else SUSPECT if phi > self.SUSPECT_PHI else ALIVE
             )
 
-    def hear(self, now, message, source) -> None:
+    def receive(self, now, message, source) -> None:
         name = source[0]
-        self.gaps[name].append((now - self.last[name]) / MS)
-        self.last[name] = now
+        self.intervals[name].append((now - self.last_heartbeat_at[name]) / MS)
+        self.last_heartbeat_at[name] = now
 
 
-class Observers(Core):
-    RINGS, HIGH, LOW, MISSED, QUORUM = 6, 5, 2, 3, 0.5
+class Observers(Detector):
+    RINGS, HIGH_WATERMARK, LOW_WATERMARK, MAX_MISSED_PROBES, QUORUM = 6, 5, 2, 3, 0.5
 
-    def __init__(self, *given):
-        super().__init__(*given)
-        everybody = sorted([*self.peers, self.name])
-        self.rings = min(self.RINGS, len(everybody) - 1)
-        at = everybody.index(self.name)
+    def __init__(self, *arguments):
+        super().__init__(*arguments)
+        members = sorted([*self.peers, self.name])
+        self.ring_count = min(self.RINGS, len(members) - 1)
+        position = members.index(self.name)
         self.subjects = {
-            everybody[(at + step) % len(everybody)] for step in range(1, self.rings + 1)
+            members[(position + step) % len(members)] for step in range(1, self.ring_count + 1)
         }
-        self.missed, self.asked, self.alerts, self.votes, self.voted = (
+        self.missed_probes, self.probed_at, self.alerts, self.votes, self.proposals = (
             defaultdict(int),
             {},
             defaultdict(set),
@@ -93,63 +107,68 @@
         )
 
     def tick(self, now) -> None:
-        if now < self.next:
+        if now < self.next_period_at:
             return
-        self.next = now + self.set.round
+        self.next_period_at = now + self.settings.protocol_period
         for name in self.subjects:
-            if name in self.asked and self.peers[name].state == ALIVE:
-                self.missed[name] += 1
-                if self.missed[name] >= self.MISSED:
-                    self.everywhere(("alert", name, self.name))
-                if self.missed[name] == self.MISSED:
-                    self.news.append(("member", {"name": name, "now": SUSPECT, "by": self.name}))
-            self.asked[name] = now
-            self.say(name, ("probe",))
+            if name in self.probed_at and self.peers[name].state == ALIVE:
+                self.missed_probes[name] += 1
+                if self.missed_probes[name] >= self.MAX_MISSED_PROBES:
+                    self.broadcast(("alert", name, self.name))
+                if self.missed_probes[name] == self.MAX_MISSED_PROBES:
+                    self.events.append(("member", {"name": name, "now": SUSPECT, "by": self.name}))
+            self.probed_at[name] = now
+            self.send(name, ("probe",))
         self.decide()
 
-    def everywhere(self, what) -> None:
-        self.take(what)
+    def broadcast(self, message) -> None:
+        self.record(message)
         for name in self.peers:
-            self.say(name, what)
+            self.send(name, message)
 
-    def take(self, what) -> None:
-        if what[0] == "alert":
-            self.alerts[what[1]].add(what[2])
-        elif what[0] == "vote":
-            self.votes[what[1]].add(what[2])
+    def record(self, message) -> None:
+        if message[0] == "alert":
+            self.alerts[message[1]].add(message[2])
+        elif message[0] == "vote":
+            self.votes[message[1]].add(message[2])
 
     def decide(self) -> None:
-        high = min(self.HIGH, self.rings)
-        sure = frozenset(
+        high_watermark = min(self.HIGH_WATERMARK, self.ring_count)
+        stable = frozenset(
             n
-            for n, by in self.alerts.items()
-            if len(by) >= high and self.peers.get(n, self).__dict__.get("state") == ALIVE
+            for n, observers in self.alerts.items()
+            if len(observers) >= high_watermark
+            and self.peers.get(n, self).__dict__.get("state") == ALIVE
         )
-        doubtful = [n for n, by in self.alerts.items() if self.LOW <= len(by) < high]
-        if sure and not doubtful:  # said again each round: a vote that is lost would stay so
-            self.voted.add(sure)
-            self.everywhere(("vote", sure, self.name))
-        for cut, by in self.votes.items():
-            if len(by) > self.QUORUM * (1 + sum(p.state == ALIVE for p in self.peers.values())):
+        unstable = [
+            n
+            for n, observers in self.alerts.items()
+            if self.LOW_WATERMARK <= len(observers) < high_watermark
+        ]
+        if stable and not unstable:  # said again each round: a vote that is lost would stay so
+            self.proposals.add(stable)
+            self.broadcast(("vote", stable, self.name))
+        for cut, voters in self.votes.items():
+            if len(voters) > self.QUORUM * (1 + sum(p.state == ALIVE for p in self.peers.values())):
                 for name in cut:
                     if name in self.peers:
-                        self.believe(name, LOST)
+                        self.set_state(name, LOST)
 
-    def back(self, name) -> None:
+    def readmit(self, name) -> None:
         self.alerts.pop(name, None)
         self.votes = defaultdict(
-            set, {cut: by for cut, by in self.votes.items() if name not in cut}
+            set, {cut: voters for cut, voters in self.votes.items() if name not in cut}
         )
-        self.voted = {cut for cut in self.voted if name not in cut}
-        self.believe(name, ALIVE)
+        self.proposals = {cut for cut in self.proposals if name not in cut}
+        self.set_state(name, ALIVE)
 
-    def hear(self, now, message, source) -> None:
+    def receive(self, now, message, source) -> None:
         if self.peers[source[0]].state == LOST:
-            self.back(source[0])
+            self.readmit(source[0])
         if message == ("probe",):
-            self.say(source[0], ("answer",))
+            self.send(source[0], ("answer",))
         elif message == ("answer",):
-            self.missed[source[0]] = 0
-            self.asked.pop(source[0], None)
+            self.missed_probes[source[0]] = 0
+            self.probed_at.pop(source[0], None)
         else:
-            self.take(message)
+            self.record(message)
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -20,6 +20,7 @@
 from random import Random
 
 from benchmarks.detectors import Accrual, Observers
+from molehill.membership.codec import InvalidMessage, MessageCodec
 from molehill.membership.member import (
     ALIVE,
     ALONE,
@@ -31,63 +32,94 @@
     Message,
     Settings,
 )
-from molehill.membership.wire import Unread, Wire
-from tests.members import Fleet, agreed, hasty, rough, unsound
 from tests.membership_mutations import MUTATIONS, mutated
+from tests.simulated_fleet import (
+    SimulatedFleet,
+    agreement_bound,
+    invariant_violation,
+    run_random_faults,
+    unfounded_suspicion,
+)
 
-SECOND, EACH_TO_EACH = 1000 * MS, 50
+SECOND, ALL_TO_ALL_LIMIT = 1000 * MS, 50
 
 
 # Every interleaving
 
 
-class World:
-    """`m`: members by name; `flying`: (to, message, source) under way; `best`: what each has believed."""
+class ModelState:
+    """`m`: members by name; `in_flight`: (to, message, source) under way; `newest_believed`: what each has believed."""
 
     def __init__(self, size: int):
-        self.now, self.flying, self.best, self.trace, self.starts = 1000 * MS, (), {}, (), {}
+        self.now, self.in_flight, self.newest_believed, self.trace, self.start_counts = (
+            1000 * MS,
+            (),
+            {},
+            (),
+            {},
+        )
         names = [f"r{n}" for n in range(size)]
-        self.m = {}
+        self.members = {}
         for n, name in enumerate(names):
             seeds = {other: (other, 7000) for other in names if other != name}
-            self.m[name] = Member(Settings(), name, (name, 7000), 1, seeds, Random(n), self.now)
-            self.starts[name] = 1
-
-    def copy(self) -> "World":
-        made = copy.copy(self)
-        made.m, made.best, made.starts = dict(self.m), dict(self.best), dict(self.starts)
-        return made
+            self.members[name] = Member(
+                Settings(), name, (name, 7000), 1, seeds, Random(n), self.now
+            )
+            self.start_counts[name] = 1
+
+    def copy(self) -> "ModelState":
+        successor = copy.copy(self)
+        successor.members, successor.newest_believed, successor.start_counts = (
+            dict(self.members),
+            dict(self.newest_believed),
+            dict(self.start_counts),
+        )
+        return successor
 
-    def own(self, name: str) -> Member:
+    def copy_member(self, name: str) -> Member:
         """That member, of this world alone from now on."""
-        self.m[name] = member = copy.deepcopy(self.m[name])
+        self.members[name] = member = copy.deepcopy(self.members[name])
         return member
 
-    def carry(self, name: str) -> None:
-        member = self.m[name]
-        self.flying += tuple((address[0], message, (name, 7000)) for address, message in member.out)
-        member.out, member.syncs = [], []
+    def collect_outbox(self, name: str) -> None:
+        member = self.members[name]
+        self.in_flight += tuple(
+            (address[0], message, (name, 7000)) for address, message in member.outbox
+        )
+        member.outbox, member.pending_syncs = [], []
 
-    def key(self):
+    def state_key(self):
         rows = []
-        for name, x in self.m.items():
+        for name, member in self.members.items():
             peers = tuple(
                 sorted(
-                    (p.who, p.state, p.since, p.until, p.heard, p.answered)
-                    for p in x.peers.values()
+                    (
+                        p.identity,
+                        p.state,
+                        p.state_since,
+                        p.suspicion_deadline,
+                        p.last_heard_at,
+                        p.last_ack_at,
+                    )
+                    for p in member.peers.values()
                 )
             )
             rows.append(
                 (
                     name,
-                    x.me,
-                    x.standing,
-                    x.answered,
-                    x.looked,
-                    x.next_round,
-                    x.slow,
-                    tuple(sorted((s, p.target, p.asked, p.nacks) for s, p in x.probes.items())),
-                    tuple(sorted(x.helped)),
+                    member.own_identity,
+                    member.standing,
+                    member.last_ack_at,
+                    member.last_run_at,
+                    member.next_period_at,
+                    member.local_health_multiplier,
+                    tuple(
+                        sorted(
+                            (s, p.target, p.requests_sent, p.nacks)
+                            for s, p in member.probes.items()
+                        )
+                    ),
+                    tuple(sorted(member.probes_for_others)),
                     peers,
                 )
             )
@@ -96,8 +128,8 @@
                 tuple(rows),
                 tuple(
                     sorted(
-                        (to, m.kind, m.sender, m.seq, m.target, m.rumours)
-                        for to, m, _ in self.flying
+                        (to, m.kind, m.sender, m.sequence, m.target, m.rumours)
+                        for to, m, _ in self.in_flight
                     )
                 ),
                 self.now,
@@ -105,61 +137,73 @@
         )
 
     def moves(self):
-        for n, (to, message, source) in enumerate(self.flying):
-            if n and self.flying[n] in self.flying[:n]:
+        for n, (to, message, source) in enumerate(self.in_flight):
+            if n and self.in_flight[n] in self.in_flight[:n]:
                 continue
             yield ("deliver", n)
             yield ("lose", n)
-        for name in self.m:
+        for name in self.members:
             yield ("tick", name)
             yield ("pause", name)
-            if self.starts[name] < 2:
+            if self.start_counts[name] < 2:
                 yield ("restart", name)
 
-    def after(self, move) -> "World":
-        made, (what, arg) = self.copy(), move
-        made.trace = self.trace + (
+    def apply_move(self, move) -> "ModelState":
+        successor, (action, subject) = self.copy(), move
+        successor.trace = self.trace + (
             move
-            if what not in ("deliver", "lose")
+            if action not in ("deliver", "lose")
             else (
-                what,
-                f"{self.flying[arg][1].kind} {self.flying[arg][2][0]}>{self.flying[arg][0]}",
+                action,
+                f"{self.in_flight[subject][1].kind} {self.in_flight[subject][2][0]}>{self.in_flight[subject][0]}",
             ),
         )
-        if what in ("deliver", "lose"):
-            to, message, source = self.flying[arg]
-            made.flying = self.flying[:arg] + self.flying[arg + 1 :]
-            if what == "deliver":
-                member = made.own(to)
-                made.now += MS
-                member.turn(made.now)
-                member.hear(made.now, message, source)
-                made.carry(to)
-        elif what == "tick":
-            member = made.own(arg)
-            made.now = max(made.now, min(member.due(), member.looked + member.set.stalled))
-            member.tick(made.now)
-            made.carry(arg)
+        if action in ("deliver", "lose"):
+            to, message, source = self.in_flight[subject]
+            successor.in_flight = self.in_flight[:subject] + self.in_flight[subject + 1 :]
+            if action == "deliver":
+                member = successor.copy_member(to)
+                successor.now += MS
+                member.advance_clock(successor.now)
+                member.receive(successor.now, message, source)
+                successor.collect_outbox(to)
+        elif action == "tick":
+            member = successor.copy_member(subject)
+            successor.now = max(
+                successor.now,
+                min(member.next_deadline(), member.last_run_at + member.settings.stall_threshold),
+            )
+            member.tick(successor.now)
+            successor.collect_outbox(subject)
         # it stands still over its alone_after, then looks at its clock
-        elif what == "pause":
-            member = made.own(arg)
-            made.now = max(made.now, member.looked + member.set.alone_after + member.set.stalled)
-            member.tick(made.now)
-            made.carry(arg)
+        elif action == "pause":
+            member = successor.copy_member(subject)
+            successor.now = max(
+                successor.now,
+                member.last_run_at + member.settings.alone_after + member.settings.stall_threshold,
+            )
+            member.tick(successor.now)
+            successor.collect_outbox(subject)
         else:
-            old = made.m[arg]
-            made.starts[arg] += 1
-            made.m[arg] = Member(
-                old.set, arg, old.address, old.me.number + 1, old.seeds, Random(arg), made.now
+            old = successor.members[subject]
+            successor.start_counts[subject] += 1
+            successor.members[subject] = Member(
+                old.settings,
+                subject,
+                old.address,
+                old.own_identity.generation + 1,
+                old.seeds,
+                Random(subject),
+                successor.now,
             )
-        return made
+        return successor
 
-    def wrong(self) -> str:
-        found = unsound(self, self.best)
-        for name, member in self.m.items():
-            for what, facts in member.news:
+    def find_violation(self) -> str:
+        found = invariant_violation(self, self.newest_believed)
+        for name, member in self.members.items():
+            for event, facts in member.events:
                 if (
-                    what == "member"
+                    event == "member"
                     and facts["by"] == name
                     and facts["now"] in (SUSPECT, LOST)
                     and facts["was"] == ALIVE
@@ -167,191 +211,198 @@
                 ):
                     found = found or f"{name} lost {facts['name']} without suspecting it"
                 if (
-                    what == "member"
+                    event == "member"
                     and facts["by"] == name
                     and facts["now"] in (SUSPECT, LOST)
                     and member.standing == ALONE
-                    and member.since < member.looked
+                    and member.standing_since < member.last_run_at
                 ):
                     found = found or f"{name} is alone and accuses {facts['name']}"
-            member.news.clear()
+            member.events.clear()
         return found
 
     @property
-    def set(self):
+    def settings(self):
         return Settings()
 
 
-def model(size: int, depth: int, most: int, mistake=None):
+def check_model(size: int, depth: int, max_states: int, mutation=None):
     """Breadth first, so the first breach has the shortest trace. (states, breach or None, its trace, depth that was finished)."""
-    with mutated(mistake) if mistake else nullcontext():
-        start = World(size)
+    with mutated(mutation) if mutation else nullcontext():
+        start = ModelState(size)
         # All know each other: what follows is about faults, not about joining.
         for _ in range(4):
-            for name in start.m:
+            for name in start.members:
                 start.now += 100 * MS
-                start.m[name].tick(start.now)
-                start.carry(name)
-            while start.flying:
-                (to, message, source), start.flying = start.flying[0], start.flying[1:]
+                start.members[name].tick(start.now)
+                start.collect_outbox(name)
+            while start.in_flight:
+                (to, message, source), start.in_flight = start.in_flight[0], start.in_flight[1:]
                 start.now += MS
-                start.m[to].turn(start.now)
-                start.m[to].hear(start.now, message, source)
-                start.carry(to)
-        start.wrong()
-        seen, queue, finished = {start.key()}, deque([(start, 0)]), 0
+                start.members[to].advance_clock(start.now)
+                start.members[to].receive(start.now, message, source)
+                start.collect_outbox(to)
+        start.find_violation()
+        seen, queue, finished = {start.state_key()}, deque([(start, 0)]), 0
         while queue:
-            world, level = queue.popleft()
+            state, level = queue.popleft()
             finished = level
-            if level >= depth or len(seen) >= most:
+            if level >= depth or len(seen) >= max_states:
                 break
-            for move in world.moves():
-                made = world.after(move)
-                wrong = made.wrong()
-                if wrong:
-                    return len(seen), wrong, made.trace, level
-                key = made.key()
+            for move in state.moves():
+                successor = state.apply_move(move)
+                violation = successor.find_violation()
+                if violation:
+                    return len(seen), violation, successor.trace, level
+                key = successor.state_key()
                 if key not in seen:
                     seen.add(key)
-                    queue.append((made, level + 1))
+                    queue.append((successor, level + 1))
         return len(seen), None, (), finished
 
 
 # Planted mistakes
 
 
-def scripted(seed: int) -> str:
+def run_scripted_faults(seed: int) -> str:
     """Days of one trouble each: one deaf, a pause, a one-way cut with a way round, a twin, a forgotten one. What was wrong, or ''."""
-    chance, best = Random(seed), {}
+    random_source, newest_believed = Random(seed), {}
 
-    def ready(size):
-        fleet = Fleet(size, seed=seed)
-        fleet.run(12 * fleet.set.round)
-        fleet.news.clear()
+    def settled_fleet(size):
+        fleet = SimulatedFleet(size, seed=seed)
+        fleet.run(12 * fleet.settings.protocol_period)
+        fleet.events.clear()
         return fleet, fleet.now
 
-    def ends(fleet):
+    def heal_and_agree(fleet):
         fleet.heal()
-        until = fleet.now + agreed(fleet)
+        until = fleet.now + agreement_bound(fleet)
         while not fleet.all_alive():
             if fleet.now > until:
                 return "no agreement after the last fault"
-            fleet.run(fleet.set.round)
+            fleet.run(fleet.settings.protocol_period)
         return ""
 
-    fleet, began = ready(chance.choice([3, 5, 8]))  # a pause; everybody else is well
-    who = chance.choice(fleet.names)
-    fleet.pause(who, chance.choice([1000, 3000]) * MS)
+    fleet, began = settled_fleet(random_source.choice([3, 5, 8]))  # a pause; everybody else is well
+    paused = random_source.choice(fleet.names)
+    fleet.pause(paused, random_source.choice([1000, 3000]) * MS)
     for _ in range(30):
-        fleet.run(fleet.set.round)
-        if found := unsound(fleet, best) or hasty(fleet, began, [who]):
+        fleet.run(fleet.settings.protocol_period)
+        if found := invariant_violation(fleet, newest_believed) or unfounded_suspicion(
+            fleet, began, [paused]
+        ):
             return found
     if any(
-        row[1] == who
+        row[1] == paused
         and row[2] == "member"
-        and row[3]["by"] == who
+        and row[3]["by"] == paused
         and row[3]["now"] in (SUSPECT, LOST)
-        for row in fleet.news
+        for row in fleet.events
     ):
-        return f"{who} woke and accused"
-    if found := ends(fleet):
+        return f"{paused} woke and accused"
+    if found := heal_and_agree(fleet):
         return found
-    fleet, began = ready(5)  # one deaf
+    fleet, began = settled_fleet(5)  # one deaf
     fleet.cut([n for n in fleet.names if n != "r2"], ["r2"], both=False)
-    fleet.run(fleet.set.alone_after + fleet.set.stalled)
-    if fleet.m["r2"].standing != ALONE:
+    fleet.run(fleet.settings.alone_after + fleet.settings.stall_threshold)
+    if fleet.members["r2"].standing != ALONE:
         return "r2 hears nothing and does not say alone"
-    fleet.run(40 * fleet.set.round)
+    fleet.run(40 * fleet.settings.protocol_period)
     if (
-        found := hasty(fleet, began, ["r2"])
+        found := unfounded_suspicion(fleet, began, ["r2"])
         or next(
             (
                 f"r2 accuses {row[3]['name']}"
-                for row in fleet.news
+                for row in fleet.events
                 if row[2] == "member" and row[3]["by"] == "r2" and row[3]["now"] != ALIVE
             ),
             "",
         )
-        or ends(fleet)
+        or heal_and_agree(fleet)
     ):
         return found
-    fleet, began = ready(3)  # a way round for each answer
+    fleet, began = settled_fleet(3)  # a way round for each answer
     fleet.cuts = (
         {("r0", "r1"), ("r1", "r2"), ("r2", "r0")}
-        if chance.random() < 0.5
+        if random_source.random() < 0.5
         else {("r1", "r0"), ("r0", "r2")}
     )
-    fleet.run(60 * fleet.set.round)
-    if len(fleet.cuts) == 3 and any(m.standing != CONNECTED for m in fleet.m.values()):
+    fleet.run(60 * fleet.settings.protocol_period)
+    if len(fleet.cuts) == 3 and any(m.standing != CONNECTED for m in fleet.members.values()):
         return "a ring of one-way cuts with a way round for each, and not all are connected"
     if found := next(
         (
-            f"{v} lost {row['name']} though it answers by another"
-            for _, v, what, row in fleet.news
-            if what == "member" and row["now"] == LOST
+            f"{viewer} lost {row['name']} though it answers by another"
+            for _, viewer, event, row in fleet.events
+            if event == "member" and row["now"] == LOST
         ),
         "",
     ):
         return found
-    fleet, began = ready(8)  # nothing but one datagram in five lost
-    fleet.loss = 0.2
+    fleet, began = settled_fleet(8)  # nothing but one datagram in five lost
+    fleet.loss_rate = 0.2
     fleet.run(60 * SECOND)
-    if found := hasty(fleet, began):
+    if found := unfounded_suspicion(fleet, began):
         return found
     # a pause while it suspects somebody
-    fleet = Fleet(3, seed=seed, settings=Settings(alone_after=10_000 * MS))
-    fleet.run(12 * fleet.set.round)
+    fleet = SimulatedFleet(3, seed=seed, settings=Settings(alone_after=10_000 * MS))
+    fleet.run(12 * fleet.settings.protocol_period)
     fleet.cut(["r2"], ["r0", "r1"])
     for _ in range(60):
-        if fleet.view("r0").get("r2") != SUSPECT:
+        if fleet.states_seen_by("r0").get("r2") != SUSPECT:
             fleet.run(100 * MS)
-    fleet.news.clear()
+    fleet.events.clear()
     fleet.pause("r0", 8000 * MS)
     fleet.run(7900 * MS)
     fleet.heal()
     fleet.run(300 * MS)
     if any(
         row[1] == "r0" and row[2] == "member" and row[3]["now"] == LOST and row[3]["by"] == "r0"
-        for row in fleet.news
+        for row in fleet.events
     ):
         return "r0 woke and took for lost whom it had suspected before"
     # another process under one name, at another address
-    fleet, began = ready(4)
-    old = fleet.m["r1"]
+    fleet, began = settled_fleet(4)
+    old = fleet.members["r1"]
     fleet.names.append("twin")
-    fleet.m["twin"] = Member(
-        fleet.set, "r1", ("twin", 7000), 2, {"r0": ("r0", 7000)}, Random(seed), fleet.now
+    fleet.members["twin"] = Member(
+        fleet.settings, "r1", ("twin", 7000), 2, {"r0": ("r0", 7000)}, Random(seed), fleet.now
     )
-    fleet.wake("twin", 0)
-    fleet.run(agreed(fleet))
+    fleet.schedule_tick("twin", 0)
+    fleet.run(agreement_bound(fleet))
     if old.standing == CONNECTED or {
-        m.peers["r1"].who.number for n, m in fleet.m.items() if n not in ("twin", "r1")
+        m.peers["r1"].identity.generation
+        for n, m in fleet.members.items()
+        if n not in ("twin", "r1")
     } != {2}:
         return "two processes serve under one name"
     return ""
 
 
-def first(job):
-    mistake, seeds = job
-    with mutated(mistake):
+def detect_mutation(job):
+    mutation, seeds = job
+    with mutated(mutation):
         for seed in range(1, seeds + 1):
-            for name, play in (("one trouble", scripted), ("rough", rough)):
+            for name, play in (("one trouble", run_scripted_faults), ("rough", run_random_faults)):
                 if found := play(seed):
-                    return mistake, seed, name, found[:90]
-    return mistake, None, "", ""
+                    return mutation, seed, name, found[:90]
+    return mutation, None, "", ""
 
 
 def find_mutations(seeds: int, jobs: int) -> None:
     untouched = [
-        found for seed in range(1, seeds + 1) for found in (scripted(seed), rough(seed)) if found
+        found
+        for seed in range(1, seeds + 1)
+        for found in (run_scripted_faults(seed), run_random_faults(seed))
+        if found
     ]
     print(f"untouched: {len(untouched)} of {2 * seeds} days show anything {untouched[:2]}")
     with Pool(jobs) as pool:
-        for mistake, seed, name, found in pool.imap_unordered(
-            first, [(mistake, seeds) for mistake in MUTATIONS]
+        for mutation, seed, name, found in pool.imap_unordered(
+            detect_mutation, [(mutation, seeds) for mutation in MUTATIONS]
         ):
             print(
-                f"| {mistake} | {f'{seed}, {name}: {found}' if seed else f'not in {seeds}'} |",
+                f"| {mutation} | {f'{seed}, {name}: {found}' if seed else f'not in {seeds}'} |",
                 flush=True,
             )
 
@@ -359,122 +410,129 @@
 # Fleets
 
 
-class Plain(Member):
+class PlainSwim(Member):
     """The SWIM paper's algorithm: helpers, suspicion for a fixed time, refutation, rumours; no sense of its own slowness or hearing."""
 
-    def may_accuse(self) -> bool:
+    def may_suspect(self) -> bool:
         return True
 
-    def woke(self, now, stood) -> None:
+    def recover_from_stall(self, now, stall_duration) -> None:
         pass
 
-    def pace(self) -> int:
-        return self.set.round
+    def probe_interval(self) -> int:
+        return self.settings.protocol_period
 
-    def patience(self, accusers: int) -> int:
-        return super().patience(4)  # the shortest that the other has
+    def suspicion_timeout(self, suspicions: int) -> int:
+        return super().suspicion_timeout(4)  # the shortest that the other has
 
-    def unanswered(self, probe, now) -> None:
-        self.answered = now  # whatever it hears, it accuses
-        super().unanswered(probe, now)
+    def handle_probe_timeout(self, probe, now) -> None:
+        self.last_ack_at = now  # whatever it hears, it accuses
+        super().handle_probe_timeout(probe, now)
 
     def on_ping(self, message, peer, now) -> None:
-        super().on_ping(message._replace(asked=None), peer, now)
+        super().on_ping(message._replace(on_behalf_of=None), peer, now)
 
 
-def core(kind, size):
+def detector_factory(detector, size):
     names = [f"r{n}" for n in range(size)]
-    return lambda *given: kind(*given, names)
+    return lambda *arguments: detector(*arguments, names)
 
 
-KINDS = {
+DETECTORS = {
     "ours": lambda size: Member,
-    "plain SWIM": lambda size: Plain,
-    "accrual": lambda size: core(Accrual, size),
-    "observers": lambda size: core(Observers, size),
+    "plain SWIM": lambda size: PlainSwim,
+    "accrual": lambda size: detector_factory(Accrual, size),
+    "observers": lambda size: detector_factory(Observers, size),
 }
 
 
-def kinds(size: int) -> list[str]:
+def detector_names(size: int) -> list[str]:
     """Heartbeats from each to each are not played on large fleets: their count is known without."""
-    return [kind for kind in KINDS if size <= EACH_TO_EACH or kind in ("ours", "plain SWIM")]
+    return [
+        name for name in DETECTORS if size <= ALL_TO_ALL_LIMIT or name in ("ours", "plain SWIM")
+    ]
 
 
-def fleet_day(job) -> dict:
-    size, loss, plain, seconds, seed = job
-    import tests.members as members
+def measure_fleet(job) -> dict:
+    size, loss, detector, seconds, seed = job
+    import tests.simulated_fleet as simulated_fleet
 
-    kind, members.Member = members.Member, KINDS[plain](size)
+    original, simulated_fleet.Member = simulated_fleet.Member, DETECTORS[detector](size)
     try:
-        fleet = Fleet(size, seed=seed, loss=loss)
+        fleet = SimulatedFleet(size, seed=seed, loss_rate=loss)
         fleet.run(30 * SECOND)
-        fleet.news.clear()
-        fleet.sent, chance, began = 0, Random(seed), fleet.now
-        stood = []
+        fleet.events.clear()
+        fleet.messages_sent, random_source, began = 0, Random(seed), fleet.now
+        stalls = []
         # somebody stands still for up to three seconds now and then
         while fleet.now - began < seconds * SECOND:
             fleet.run(5 * SECOND)
-            who, span = chance.choice(fleet.names), chance.randrange(200, 3000) * MS
-            stood.append((who, fleet.now, fleet.now + span + fleet.set.round))
-            fleet.pause(who, span)
+            paused, span = (
+                random_source.choice(fleet.names),
+                random_source.randrange(200, 3000) * MS,
+            )
+            stalls.append((paused, fleet.now, fleet.now + span + fleet.settings.protocol_period))
+            fleet.pause(paused, span)
         fleet.run(5 * SECOND)
         # False: of one that did not stand still, nor just had
-        false = sum(
+        false_suspicions = sum(
             row[2] == "member"
             and row[3]["now"] == SUSPECT
             and row[3]["by"] == row[1]
             and not any(
-                who == row[3]["name"] and first <= row[0] <= last for who, first, last in stood
+                paused == row[3]["name"] and begin <= row[0] <= end for paused, begin, end in stalls
             )
-            for row in fleet.news
+            for row in fleet.events
         )
         lost = sum(
             row[2] == "member" and row[3]["now"] == LOST and row[3]["by"] == row[1]
-            for row in fleet.news
+            for row in fleet.events
         )
-        sent = fleet.sent / size / (fleet.now - began) * SECOND
+        sent = fleet.messages_sent / size / (fleet.now - began) * SECOND
         fleet.run(20 * SECOND)
         fleet.kill("r1")
-        when = fleet.now
-        while fleet.states_of("r1") - {LOST, None} and fleet.now - when < 120 * SECOND:
+        killed_at = fleet.now
+        while fleet.states_of("r1") - {LOST, None} and fleet.now - killed_at < 120 * SECOND:
             fleet.run(100 * MS)
         return {
             "size": size,
             "loss": loss,
-            "plain": plain,
-            "false": false,
+            "detector": detector,
+            "false": false_suspicions,
             "lost": lost,
             "messages": sent,
-            "knows_s": (fleet.now - when) / SECOND,
+            "knows_s": (fleet.now - killed_at) / SECOND,
         }
     finally:
-        members.Member = kind
+        simulated_fleet.Member = original
 
 
-def fleets(sizes, seconds: int, jobs: int, seeds: int) -> None:
+def compare_detectors(sizes, seconds: int, jobs: int, seeds: int) -> None:
     todo = [
-        (size, loss, plain, seconds, seed)
+        (size, loss, detector, seconds, seed)
         for size in sizes
         for loss in (0.01, 0.05, 0.2)
-        for plain in kinds(size)
+        for detector in detector_names(size)
         for seed in range(1, seeds + 1)
     ]
     with Pool(jobs) as pool:
-        rows = pool.map(fleet_day, todo, chunksize=1)
+        rows = pool.map(measure_fleet, todo, chunksize=1)
     for size in sizes:
         for loss in (0.01, 0.05, 0.2):
             text = []
-            for plain in kinds(size):
-                some = [
-                    r for r in rows if (r["size"], r["loss"], r["plain"]) == (size, loss, plain)
+            for detector in detector_names(size):
+                matching = [
+                    r
+                    for r in rows
+                    if (r["size"], r["loss"], r["detector"]) == (size, loss, detector)
                 ]
                 mean = {
-                    name: sum(r[name] for r in some) / len(some)
+                    name: sum(r[name] for r in matching) / len(matching)
                     for name in ("false", "lost", "messages", "knows_s")
                 }
                 hours = seconds / 3600
                 text.append(
-                    f"{plain}: {mean['false'] / hours / size:.1f} false suspicions and {mean['lost'] / hours / size:.2f} losses "
+                    f"{detector}: {mean['false'] / hours / size:.1f} false suspicions and {mean['lost'] / hours / size:.2f} losses "
                     f"an hour and relay, {mean['messages']:.1f} messages a second, a dead one known after {mean['knows_s']:.1f} s"
                 )
             print(f"{size} relays, {loss:.0%} lost:", *text, sep="\n    ", flush=True)
@@ -483,75 +541,83 @@
 # Bytes and cost
 
 
-def spoilt(packets: int) -> None:
-    wire, chance = Wire("north", [b"k" * 32]), Random(1)
-    fleet = Fleet(12)
+def measure_decoder(packets: int) -> None:
+    codec, random_source = MessageCodec("north", [b"k" * 32]), Random(1)
+    fleet = SimulatedFleet(12)
     fleet.run(5 * SECOND)
     rows = [
-        wire.write(Message("ping", m.me, m.address, m.standing, 1, "r1", None, m.everything()[:8]))
-        for m in fleet.m.values()
+        codec.encode(
+            Message(
+                "ping", m.own_identity, m.address, m.standing, 1, "r1", None, m.all_rumours()[:8]
+            )
+        )
+        for m in fleet.members.values()
     ]
     refused = read = 0
     began = time.perf_counter()
     for n in range(packets):
-        data = bytearray(chance.choice(rows))
+        data = bytearray(random_source.choice(rows))
         # signed as it should be, so that the decoder sees it
         if n % 2:
             body = data[18:]
-            body[chance.randrange(len(body))] = chance.randrange(256)
-            body = bytes(body[: chance.randrange(1, len(body) + 1)]) if n % 4 == 1 else bytes(body)
-            data = bytes(data[:2]) + wire.mac(0, body) + body
+            body[random_source.randrange(len(body))] = random_source.randrange(256)
+            body = (
+                bytes(body[: random_source.randrange(1, len(body) + 1)])
+                if n % 4 == 1
+                else bytes(body)
+            )
+            data = bytes(data[:2]) + codec.compute_mac(0, body) + body
         else:
-            data[chance.randrange(len(data))] ^= chance.randrange(1, 256)
+            data[random_source.randrange(len(data))] ^= random_source.randrange(1, 256)
         try:
-            wire.read(bytes(data))
+            codec.decode(bytes(data))
             read += 1
-        except Unread:
+        except InvalidMessage:
             refused += 1
-    took = time.perf_counter() - began
+    elapsed = time.perf_counter() - began
     print(
-        f"{packets} spoilt packets: {refused} refused, {read} still a message (rightly signed), none else; {took / packets * 1e6:.1f} us each"
+        f"{packets} spoilt packets: {refused} refused, {read} still a message (rightly signed), none else; {elapsed / packets * 1e6:.1f} us each"
     )
 
 
-def cost() -> None:
-    fleet = Fleet(300)
+def measure_cost() -> None:
+    fleet = SimulatedFleet(300)
     fleet.run(60 * SECOND)
-    wire, member = Wire("north", [b"k" * 32]), fleet.m["r7"]
+    codec, member = MessageCodec("north", [b"k" * 32]), fleet.members["r7"]
     tracemalloc.start()
-    kept = copy.deepcopy(member)
+    member_copy = copy.deepcopy(member)
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    bytes_out, spent, began = 0, 0.0, fleet.now
-    heard = []
-    comes = Fleet.comes
+    bytes_out, cpu_seconds, began = 0, 0.0, fleet.now
+    received = []
+    deliver = SimulatedFleet.deliver
 
-    def watched(self, name, message, source):
+    def record_delivery(self, name, message, source):
         if name == "r7":
-            heard.append((self.now, message, source))
-        comes(self, name, message, source)
+            received.append((self.now, message, source))
+        deliver(self, name, message, source)
 
-    fleet.comes = watched.__get__(fleet)
+    fleet.deliver = record_delivery.__get__(fleet)
     fleet.run(30 * SECOND)
     start = time.process_time()
-    kept.looked = began
-    at = began
-    for now, message, source in heard:
-        data = wire.write(message)
-        start2 = time.process_time()
-        while at < now:
-            at += kept.set.stalled // 4
-            kept.tick(min(at, now))
-        kept.turn(now)
-        kept.hear(now, wire.read(data), source)
-        for _, out in kept.out:
-            bytes_out += len(wire.write(out))
-        kept.out.clear()
-        kept.news.clear()
-        spent += time.process_time() - start2
+    member_copy.last_run_at = began
+    ticked_to = began
+    for now, message, source in received:
+        data = codec.encode(message)
+        call_started = time.process_time()
+        while ticked_to < now:
+            ticked_to += member_copy.settings.stall_threshold // 4
+            member_copy.tick(min(ticked_to, now))
+        member_copy.advance_clock(now)
+        member_copy.receive(now, codec.decode(data), source)
+        for _, reply in member_copy.outbox:
+            bytes_out += len(codec.encode(reply))
+        member_copy.outbox.clear()
+        member_copy.events.clear()
+        cpu_seconds += time.process_time() - call_started
     del start
     print(
-        f"one of 300: {spent / 30 * 100:.2f} % of a core, {size / 1e6:.2f} MB of rows, {bytes_out / 30:.0f} bytes said a second, {len(heard) / 30:.1f} messages heard"
+        f"one of 300: {cpu_seconds / 30 * 100:.2f} % of a core, {size / 1e6:.2f} MB of rows, {bytes_out / 30:.0f} bytes said a second, {len(received) / 30:.1f} messages heard"
     )
 
 
@@ -565,26 +631,28 @@
     parser.add_argument("--seconds", type=int, default=300)
     parser.add_argument("--jobs", type=int, default=os.cpu_count())
     parser.add_argument("--packets", type=int, default=1_000_000)
-    given = parser.parse_args()
-    if given.what == "model":
-        for size in given.relays:
-            states, wrong, trace, level = model(size, given.depth, given.states)
+    arguments = parser.parse_args()
+    if arguments.what == "model":
+        for size in arguments.relays:
+            states, violation, trace, level = check_model(size, arguments.depth, arguments.states)
             print(
-                f"{size} relays: {states} states, depth {level} finished: {wrong or 'all hold'} {trace}",
+                f"{size} relays: {states} states, depth {level} finished: {violation or 'all hold'} {trace}",
                 flush=True,
             )
-            for mistake in MUTATIONS:
-                states, wrong, trace, _ = model(size, given.depth, given.states // 4, mistake)
-                if wrong:
+            for mutation in MUTATIONS:
+                states, violation, trace, _ = check_model(
+                    size, arguments.depth, arguments.states // 4, mutation
+                )
+                if violation:
                     print(
-                        f"  {mistake}: {wrong} after {states} states, in {len(trace)} moves: {trace}",
+                        f"  {mutation}: {violation} after {states} states, in {len(trace)} moves: {trace}",
                         flush=True,
                     )
-    elif given.what == "mutations":
-        find_mutations(given.seeds, given.jobs)
-    elif given.what == "fleets":
-        fleets(given.relays, given.seconds, given.jobs, given.seeds)
-    elif given.what == "spoilt":
-        spoilt(given.packets)
+    elif arguments.what == "mutations":
+        find_mutations(arguments.seeds, arguments.jobs)
+    elif arguments.what == "fleets":
+        compare_detectors(arguments.relays, arguments.seconds, arguments.jobs, arguments.seeds)
+    elif arguments.what == "spoilt":
+        measure_decoder(arguments.packets)
     else:
-        cost()
+        measure_cost()
--- a/molehill/config.py
+++ b/molehill/config.py
@@ -230,12 +230,12 @@
 
 # name in the file -> its name in membership's settings
 FLEET_DURATIONS = {
-    "roundMs": "round",
-    "floorMs": "floor",
+    "roundMs": "protocol_period",
+    "floorMs": "min_ack_timeout",
     "aloneAfterMs": "alone_after",
-    "stalledMs": "stalled",
+    "stalledMs": "stall_threshold",
     "forgetAfterMs": "forget_after",
-    "syncEveryMs": "sync_every",
+    "syncEveryMs": "sync_interval",
 }
 # membership's own defaults: config imports nothing of it
 DEFAULT_ROUND, DEFAULT_ALONE_AFTER = 500 * MS, 2000 * MS
@@ -447,7 +447,7 @@
         if value is not None:
             durations[name] = value
     if durations.get("alone_after", DEFAULT_ALONE_AFTER) < 2 * durations.get(
-        "round", DEFAULT_ROUND
+        "protocol_period", DEFAULT_ROUND
     ):
         raise ConfigError(
             "fleet.aloneAfterMs: less than twice fleet.roundMs, so one lost answer would make it alone"
--- a/molehill/emulator/life.py
+++ b/molehill/emulator/life.py
@@ -497,7 +497,7 @@
             # nor are the operators' door and the meeting place
             counted += 2
         if http.membership is not None:
-            counted += http.membership.descriptors()
+            counted += http.membership.descriptor_count()
         return {
             "held": len(core.callbacks),
             "calls": len(core.calls),
--- a/molehill/relay.py
+++ b/molehill/relay.py
@@ -97,7 +97,7 @@
         if config.fleet is not None:
             try:
                 # only where it is asked for: it costs memory and a start's time
-                from molehill.membership.wiring import Membership
+                from molehill.membership.service import Membership
             except ImportError as error:
                 raise configuration.ConfigError(
                     f"fleet: {error}; pip install molehill[fleet]"
@@ -126,9 +126,9 @@
             self.startup.handover = None
             self.reload_after_handover()
         if self.membership is not None:
-            self.membership.begin()
+            self.membership.start()
             if self.startup.admin is not None:
-                self.startup.admin.pages["/fleet"] = lambda: (200, self.membership.view())
+                self.startup.admin.pages["/fleet"] = lambda: (200, self.membership.view_json())
         self.engine.post_event(ev.Startup())
         self.engine.flush_periodically(self.sink)
         self.engine.log_counts_periodically()
@@ -225,7 +225,7 @@
             self.core.classes.numbers,
         )
         if self.membership is not None and new.fleet is not None:
-            self.membership.retake(new.fleet)
+            self.membership.reconfigure(new.fleet)
 
     # An upgrade: molehill/upgrade.py has its order
 
@@ -242,7 +242,9 @@
         self.apply_configuration(new)
 
     def metrics_text(self) -> str:
-        return self.core.metrics.render() + (self.membership.figures() if self.membership else "")
+        return self.core.metrics.render() + (
+            self.membership.metrics_text() if self.membership else ""
+        )
 
     def can_serve(self) -> bool:
         return self.clients.can_serve() and not self.handed_over
@@ -274,7 +276,7 @@
         self.notices.take_back()
         self.engine.resume()
         if self.membership is not None:
-            self.membership.begin()
+            self.membership.start()
         self.engine.post_event(ev.PauseCalls(False))
         self.clients.take_back(
             [row for row in rows if row[0]["k"] == "client"], self.scheduler.clock() - started_at
--- a/molehill/upgrade.py
+++ b/molehill/upgrade.py
@@ -284,7 +284,7 @@
         discovery_in_file=process.config.discovery_in_file,
     )
     if process.membership is not None:
-        state["member"] = process.membership.estate()
+        state["member"] = process.membership.handover_state()
     return [*rows, (state, b"", None)]
 
 
--- a/tests/membership_mutations.py
+++ b/tests/membership_mutations.py
@@ -5,130 +5,143 @@
 
 from contextlib import contextmanager
 
-from molehill.membership import member as m
+from molehill.membership import member
 from molehill.membership.member import Member
 
 
-def nothing(before):
+def do_nothing(original):
     return lambda self, *_: None
 
 
-def deaf_ears(before):
+def ignore_time(original):
     """Time is not looked at: whoever was answered once is connected."""
 
-    def stands(self, now):
-        return before(self, self.answered or now)
+    def current_standing(self, now):
+        return original(self, self.last_ack_at or now)
 
-    return stands
+    return current_standing
 
 
-def same_turn(before):
-    def told_of_self(self, rumour, now):
-        me = self.me
-        before(self, rumour, now)
-        if self.me.number == me.number and self.me.turn > me.turn:
-            self.me = me
-            self.rumours[me.name] = [m.Rumour(me, m.ALIVE, self.address, me.name), 0]
+def refute_without_increment(original):
+    def apply_rumour_about_self(self, rumour, now):
+        own_identity = self.own_identity
+        original(self, rumour, now)
+        if (
+            self.own_identity.generation == own_identity.generation
+            and self.own_identity.incarnation > own_identity.incarnation
+        ):
+            self.own_identity = own_identity
+            self.rumour_queue[own_identity.name] = [
+                member.Rumour(own_identity, member.ALIVE, self.address, own_identity.name),
+                0,
+            ]
 
-    return told_of_self
+    return apply_rumour_about_self
 
 
-def older_believed(before):
-    def meets(self, now, message, source):
+def believe_older_process(original):
+    def admit_sender(self, now, message, source):
         peer = self.peers.get(message.sender.name)
-        if peer is not None and message.sender.process() < peer.who.process():
-            peer.who = message.sender
-        return before(self, now, message, source)
+        if peer is not None and message.sender.process_key() < peer.identity.process_key():
+            peer.identity = message.sender
+        return original(self, now, message, source)
 
-    return meets
+    return admit_sender
 
 
-def at_once(before):
-    return lambda self, accusers: 0
+def no_suspicion_timeout(original):
+    return lambda self, suspicions: 0
 
 
-def on_no_word(before):
+def suspect_without_answers(original):
     """It accuses whom it can't reach, whether it hears anybody or not."""
 
-    def unanswered(self, probe, now):
-        answered, standing, self.answered = self.answered, self.standing, now
-        self.may_accuse = lambda: True
+    def handle_probe_timeout(self, probe, now):
+        last_ack_at, standing, self.last_ack_at = self.last_ack_at, self.standing, now
+        self.may_suspect = lambda: True
         try:
-            before(self, probe, now)
+            original(self, probe, now)
         finally:
-            del self.may_accuse
-            self.answered, self.standing = answered, standing
+            del self.may_suspect
+            self.last_ack_at, self.standing = last_ack_at, standing
 
-    return unanswered
+    return handle_probe_timeout
 
 
-def helper_alone(before):
+def answer_helper_only(original):
     def on_ping(self, message, peer, now):
-        before(self, message._replace(asked=None), peer, now)
+        original(self, message._replace(on_behalf_of=None), peer, now)
 
     return on_ping
 
 
-def raised(before):
+def revive_by_old_rumour(original):
     """A rumour of an older turn counts as news."""
 
-    def told(self, rumour, now):
-        peer = self.peers.get(rumour.who.name)
+    def apply_rumour(self, rumour, now):
+        peer = self.peers.get(rumour.identity.name)
         if (
             peer is not None
-            and rumour.state == m.ALIVE
-            and peer.state in (m.SUSPECT, m.LOST)
-            and rumour.who.process() == peer.who.process()
+            and rumour.state == member.ALIVE
+            and peer.state in (member.SUSPECT, member.LOST)
+            and rumour.identity.process_key() == peer.identity.process_key()
         ):
-            peer.who = rumour.who
-            self.believe(peer, m.ALIVE, now, rumour.by)
+            peer.identity = rumour.identity
+            self.set_state(peer, member.ALIVE, now, rumour.reporter)
             return
-        before(self, rumour, now)
+        original(self, rumour, now)
 
-    return told
+    return apply_rumour
 
 
-def serves_on(before):
-    def meets_itself(self, sender, source):
-        before(self, sender, source)
+def ignore_superseded(original):
+    def resolve_name_conflict(self, sender, source):
+        original(self, sender, source)
         self.superseded = False
 
-    return meets_itself
+    return resolve_name_conflict
 
 
-def turn_of_others(before):
+def refute_for_others(original):
     """It refutes for another: a turn that this one never had."""
 
-    def believe(self, peer, state, now, by):
-        if state == m.SUSPECT and peer.heard and now - peer.heard < self.set.round:
-            peer.who, state = peer.who._replace(turn=peer.who.turn + 1), m.ALIVE
-        before(self, peer, state, now, by)
+    def set_state(self, peer, state, now, reporter):
+        if (
+            state == member.SUSPECT
+            and peer.last_heard_at
+            and now - peer.last_heard_at < self.settings.protocol_period
+        ):
+            peer.identity, state = (
+                peer.identity._replace(incarnation=peer.identity.incarnation + 1),
+                member.ALIVE,
+            )
+        original(self, peer, state, now, reporter)
 
-    return believe
+    return set_state
 
 
 # name -> (attribute of Member, what makes the wrong one of the right one)
 MUTATIONS = {
-    "time is not looked at": ("stands", deaf_ears),
-    "old ears after a pause": ("woke", nothing),
-    "refutes by the same turn": ("told_of_self", same_turn),
-    "an older process is believed": ("meets", older_believed),
-    "a suspicion is a loss": ("patience", at_once),
-    "accuses on no word from anybody": ("unanswered", on_no_word),
-    "answers the helper alone": ("on_ping", helper_alone),
-    "an old rumour raises": ("told", raised),
-    "the earlier of two processes serves on": ("meets_itself", serves_on),
-    "refutes for others": ("believe", turn_of_others),
-    "lost ones are never called": ("call_back", nothing),
+    "time is not looked at": ("current_standing", ignore_time),
+    "old ears after a pause": ("recover_from_stall", do_nothing),
+    "refutes by the same turn": ("apply_rumour_about_self", refute_without_increment),
+    "an older process is believed": ("admit_sender", believe_older_process),
+    "a suspicion is a loss": ("suspicion_timeout", no_suspicion_timeout),
+    "accuses on no word from anybody": ("handle_probe_timeout", suspect_without_answers),
+    "answers the helper alone": ("on_ping", answer_helper_only),
+    "an old rumour raises": ("apply_rumour", revive_by_old_rumour),
+    "the earlier of two processes serves on": ("resolve_name_conflict", ignore_superseded),
+    "refutes for others": ("set_state", refute_for_others),
+    "lost ones are never called": ("try_reconnect", do_nothing),
 }
 
 
 @contextmanager
 def mutated(name: str):
     attribute, change = MUTATIONS[name]
-    before = getattr(Member, attribute)
-    setattr(Member, attribute, change(before))
+    original = getattr(Member, attribute)
+    setattr(Member, attribute, change(original))
     try:
         yield
     finally:
-        setattr(Member, attribute, before)
+        setattr(Member, attribute, original)
