--- a/molehill/interface.py
+++ b/molehill/interface.py
@@ -1,98 +1,122 @@
-"""Types that pass between the decision module and whatever carries callbacks (bench or real relay).
+"""Types that pass between the decision module and its carrier (the simulator or a real relay).
 
-All times are whole nanoseconds of one clock that only advances; ids are given back as they came.
-Nothing here decides: an absent setting is left as None and read by the module.
+The carrier hands events and settings to the module and gets actions back. All times and spans are
+integers in nanoseconds of one monotonic clock; ids are returned as they were received. Nothing here
+makes a decision: an absent setting is None, and the module interprets it.
 """
 
-# Ids of callbacks and hosts are whatever the carrier has: numbers on the bench's wire, text on sockets.
 from dataclasses import dataclass, field
 from enum import Enum
 from typing import Optional, Union
 
+# Callbacks and hosts have the carrier's ids: integers in the simulator's protocol, text on sockets.
 Id = Union[int, str]
 
 
-# the values are those of the log on the disk, which older programs wrote
 class DeliverySemantics(Enum):
+    """What a class of callbacks allows after an attempt that may have run.
+
+    The values are those of the log on disk, which older versions wrote.
+    """
+
     IDEMPOTENT = "rerunnable"  # may run again
-    DEDUPLICATED = "ticketed"  # carries a mark by which a repeat is known for a while
+    DEDUPLICATED = "ticketed"  # carries a token by which hosts recognize a repeat for a while
     AT_MOST_ONCE = "exclusive"  # must never run twice
 
 
-class Result(Enum):  # likewise
+class Result(Enum):
+    """How one attempt of a callback ended.
+
+    The values are those of the log on disk, which older versions wrote.
+    """
+
     DELIVERED = "fulfilled"
     ERROR = "error"  # answered with an error; may have run
-    REFUSED = "full"  # turned away unseen
+    REFUSED = "full"  # rejected by the host without processing
     TIMEOUT = "timeout"  # no answer in time; may have run
     NO_CONNECT = "no_connect"  # no connection; never ran
-    RESET = "reset"  # connection broke; may have run
-    CANCELLED = "cancelled"  # called off; may have run
+    RESET = "reset"  # the connection broke; may have run
+    CANCELLED = "cancelled"  # cancelled by the relay; may have run
     NOT_SENT = "not_sent"  # never left the relay
 
     @property
     def may_still_run(self):
+        """Whether the host may still execute the callback after this result."""
         return self in (Result.TIMEOUT, Result.RESET, Result.CANCELLED)
 
     @property
-    def may_have_run(self):  # though it is not known to have been delivered
+    def may_have_run(self):
+        """Whether the host may have executed it, though it is not known to have been delivered."""
         return self is Result.ERROR or self.may_still_run
 
 
 class Condition(Enum):
+    """The state of a host as listed by discovery."""
+
     UP = "up"
     DRAINING = "draining"
     GONE = "gone"
 
 
 class ListScope(Enum):
+    """What a host list update covers."""
+
     UPDATE = "update"  # changed entries only
     WHOLE = "whole"  # the complete list
-    RESTORED = "restored"  # the complete list as last held, perhaps old
-    FAILED = "failed"  # asking failed or the subscription broke
+    RESTORED = "restored"  # the complete list as last stored, possibly outdated
+    FAILED = "failed"  # the request failed or the subscription broke
 
 
 @dataclass(slots=True)
 class CallbackClass:
+    """Settings of one class of callbacks."""
+
     semantics: DeliverySemantics
-    target_latency: int  # wanted within this span
-    time_limit: int  # given up after this span
+    target_latency: int  # delivery is wanted within this span
+    time_limit: int  # delivery is given up after this span
     value: float
-    # share of the payoff left at the abandon time (or the floor when halving)
+    # share of the value that is left at the deadline (or its floor when the value halves)
     late_value_share: float
-    deduplication_window: int  # deduplicated: how long a repeat is dropped
-    deduplicated_in_zone: bool  # deduplicated: only hosts of the first launch's zone drop repeats
+    deduplication_window: int  # deduplicated: how long hosts drop a repeat
+    deduplicated_in_zone: bool  # deduplicated: only hosts of the first attempt's zone drop repeats
     deduplicated_everywhere: bool  # deduplicated: every host of the destination drops repeats
-    ordered: bool  # callbacks of one key go in turn
+    ordered: bool  # callbacks of one key are delivered in order
 
 
 @dataclass(slots=True)
 class Tenant:
+    """Settings of one tenant."""
+
     share: float
-    quota: Optional[float]  # callbacks a second over all relays within its share
+    quota: Optional[float]  # callbacks a second within its share, over all relays
 
 
 @dataclass(slots=True)
 class HostKind:
-    separate_routes: bool  # hosts of a destination are separate routes
-    callbacks_per_call: int  # callbacks in one call at most
+    """Settings of one kind of host."""
+
+    separate_routes: bool  # each host has its own limiter; else those of a destination share one
+    callbacks_per_call: int  # at most, in one call
 
 
 @dataclass(slots=True)
 class Settings:
+    """Settings of the decision module; None: not set."""
+
     callback_classes: list[CallbackClass]
     tenants: list[Tenant] = field(default_factory=list)
     kinds: list[HostKind] = field(default_factory=list)
     zone_fees: list[float] = field(default_factory=list)
     relay_count: int = 1
-    max_calls: int = 1  # calls out at once
+    max_calls: int = 1  # in flight at once
     max_pending: Optional[int] = None
     max_attempts: int = 1
-    sends_retry_after: bool = False  # clients receive the time to come back
-    max_retry_after: int = 0  # the longest such time a client keeps to
-    list_on_request: bool = False
-    value_halves: bool = (
-        False  # the payoff falls by half a goal time; else evenly to late_value_share
-    )
+    sends_retry_after: bool = False  # rejections carry a Retry-After
+    max_retry_after: int = 0  # the longest Retry-After that clients follow
+    list_on_request: bool = False  # the host list has to be requested
+    # past its target, the value halves every target_latency; else it falls linearly to
+    # late_value_share
+    value_halves: bool = False
     over_quota_value_factor: float = 1.0
     weights_are_rates: bool = False
     overload_span: Optional[int] = None
@@ -100,33 +124,37 @@
     cold_capacity_share: Optional[float] = None
     slow_start_time: Optional[int] = None
     connection_idle: int = 0  # an idle connection is closed after this span
-    limits_are_advertised: bool = (
-        False  # answers tell a host's limit in calls a second where it has one
-    )
-    key_cooldown: int = 0  # rest of a key after a launch that may still run
+    # a host that has a limit advertises it in its answers, in calls a second
+    limits_are_advertised: bool = False
+    key_cooldown: int = 0  # no attempt for a key for this span after one that may still run
 
 
 @dataclass(slots=True)
 class HostEntry:
+    """One host of the host list."""
+
     host: Id
     zone: int
     kind: int
     destination: int
     condition: Condition
     weight: float
-    # an earlier process of this relay saw it fail, and not long enough well since
+    # an earlier process of this relay saw it fail, and it was not healthy long enough since
     ejected: bool = False
 
 
 @dataclass(slots=True)
 class HostListUpdate:
+    """Event: discovery sent host entries, or could not be reached."""
+
     scope: ListScope
     entries: list[HostEntry]
 
 
 @dataclass(slots=True)
-# a call that an earlier process of this relay wrote; its outcomes come to this one
 class HandedOverCall:
+    """A call that an earlier process of this relay sent; this process receives its outcomes."""
+
     number: int
     host: Id
     sent_at: int
@@ -135,61 +163,76 @@
 
 @dataclass(slots=True)
 class NewCallback:
+    """Event: a callback arrived, or an earlier process or module had accepted it.
+
+    The fields from `attempts` on say what an earlier process of this relay did with it.
+    """
+
     callback: Id
     callback_class: int
     tenant: int
     key: Optional[str]
     deadline: int
     destination: int
-    attempts: int = 0  # from here on: what an earlier process of this relay did with it
-    may_have_run_at: Optional[int] = None  # when the first launch that may have run was sent
-    may_have_run_zone: Optional[int] = None  # where that was
-    key_cooldown_until: int = 0  # until when its key rests
-    handed_over_call: Optional[HandedOverCall] = None  # its last launch is out in that call
-    already_accepted: bool = False  # an earlier process or module had taken it on
+    attempts: int = 0
+    may_have_run_at: Optional[int] = None  # when the first attempt that may have run was sent
+    may_have_run_zone: Optional[int] = None  # the zone of that attempt's host
+    key_cooldown_until: int = 0  # end of its key's cooldown
+    handed_over_call: Optional[HandedOverCall] = None  # the call with its last attempt, in flight
+    already_accepted: bool = False  # an earlier process or module had accepted it
 
 
 @dataclass(slots=True)
 class Outcome:
+    """Event: an attempt of a callback ended."""
+
     callback: Id
     attempt_number: int
     host: Id
     result: Result
     duration: int
-    retry_after: int  # told wait, 0 for none
+    retry_after: int  # the host's Retry-After; 0: none
     completed: bool
-    # the limit that the answer tells, calls a second from all relays; 0: none
+    # limit in the answer, in calls a second from all relays together; 0: none
     advertised_rate: float = 0.0
-    attempts_exhausted: bool = False  # the host says that it has had all its launches
-    unsent: bool = False  # the relay itself kept it back: it counts as no launch
-    # share of that limit that is left, as the answer tells; None: not told
+    attempts_exhausted: bool = False  # the host says that the callback has had all its attempts
+    unsent: bool = False  # the relay itself held it back: it does not count as an attempt
+    # remaining share of that limit, as advertised in the answer; None: not advertised
     advertised_share_left: Optional[float] = None
 
 
 @dataclass(slots=True)
 class TimerExpired:
+    """Event: the timer of an earlier `SetTimer` expired."""
+
     token: str
 
 
 @dataclass(slots=True)
 class CallbackWithdrawn:
+    """Event: the carrier has completed the callback; nothing more is to be done for it."""
+
     callback: Id
 
 
 @dataclass(slots=True)
-# the relay ends at that time; what it holds is taken up again after its restart
 class RelayStopping:
+    """Event: the relay stops at the given time; pending callbacks are resumed after its restart."""
+
     stops_at: int
 
 
 @dataclass(slots=True)
-class LearnedState:  # what an earlier process's module told by `learned_state`
+class LearnedState:
+    """Event: the rows that an earlier process's module returned from `learned_state`."""
+
     rows: list[dict]
 
 
 @dataclass(slots=True)
-# in place of those before; what is held keeps its category as it came
 class NewSettings:
+    """Event: new settings replace the old; pending callbacks keep the class settings they had."""
+
     settings: Settings
 
 
@@ -198,6 +241,8 @@
 
 @dataclass(slots=True)
 class StartAttempt:
+    """Action: send the callback to the host; `timeout` limits the attempt."""
+
     callback: Id
     host: Id
     timeout: int
@@ -205,33 +250,43 @@
 
 @dataclass(slots=True)
 class Reject:
+    """Action: answer the callback with a rejection; its client may send it again."""
+
     callback: Id
-    retry_after: int  # 0 for no guidance
+    retry_after: int  # 0: none
 
 
 @dataclass(slots=True)
 class Fail:
+    """Action: report the callback as failed."""
+
     callback: Id
 
 
 @dataclass(slots=True)
 class SetTimer:
+    """Action: deliver `TimerExpired` with this token after the delay."""
+
     delay: int
     token: str
 
 
 @dataclass(slots=True)
-class CloseIdle:  # closes this relay's idle connections to the host
+class CloseIdle:
+    """Action: close this relay's idle connections to the host."""
+
     host: Id
 
 
 @dataclass(slots=True)
 class WatchHostList:
-    pass
+    """Action: subscribe to the host list, or request it again."""
 
 
 @dataclass(slots=True)
-class ReportHealth:  # a host is closed for its failures (away), or answers again
+class ReportHealth:
+    """Action: report that a host was ejected for its failures, or that it answers again."""
+
     host: Id
     ejected: bool
     text: str
--- a/molehill/invariants.py
+++ b/molehill/invariants.py
@@ -1,12 +1,16 @@
-"""What must hold: asserted in debug builds, counted and reported in release builds (`python -O`)."""
+"""Invariants: asserted in debug builds, counted and reported in release builds (`python -O`)."""
 
+# invariant name -> number of breaches in release builds
 breach_counts: dict[str, int] = {}
-# called with (name, count, facts) at each breach in release builds; set when wiring
+# called with (name, count, facts) at each breach in release builds; set at startup
 report_breach = None
 
 
 def check_invariant(condition, name, **facts) -> bool:
-    """Gives whether the condition holds, so that callers can go on safely where it does not."""
+    """Returns whether the condition holds, so that callers can continue safely where it does not.
+
+    Raises AssertionError on a breach in debug builds; `facts` are values for the report.
+    """
     if condition:
         return True
     assert False, f"{name}: {facts}"
