--- a/molehill/decisions/__init__.py
+++ b/molehill/decisions/__init__.py
@@ -1,4 +1,5 @@
-"""The decisions of a relay: which callback is launched where and when, repeated, rejected or failed.
+"""The decisions of a relay: which callback is sent where and when, retried, rejected or failed.
 
-`dispatcher.Dispatcher` ties the modules of this package together by events. It has no clock, input or output.
+`dispatcher.Dispatcher` connects the modules of this package and passes events to them. The package
+has no clock and does no input or output.
 """
--- a/molehill/decisions/admission.py
+++ b/molehill/decisions/admission.py
@@ -1,4 +1,4 @@
-"""Admission: what comes is taken on or turned away, and what gives way while the relay is nearly full."""
+"""Admission: which callbacks are accepted or rejected, and which is evicted when nearly full."""
 
 from math import log2
 
@@ -10,25 +10,28 @@
 from molehill.decisions.state import State
 from molehill.decisions.tenant_quotas import TenantQuotas
 
-RESERVE_DIVISOR = 16  # of what may be held: what may come in one batch
+RESERVE_DIVISOR = 16  # 1/16 of max_pending stays free for what may arrive in one batch
 
 
 class Admission:
-    """Takes callbacks on."""
+    """Accepts callbacks, or rejects them where no host is known."""
 
     def __init__(self, state: State, lifecycle: Lifecycle) -> None:
         self.state, self.lifecycle = state, lifecycle
         self.tenant_quotas = TenantQuotas(len(state.settings.tenants))
-        self.handed_over_calls: dict[
-            int, Call
-        ] = {}  # calls of an earlier process, as told in this step
+        # calls of an earlier process that this step's events mention, by number
+        self.handed_over_calls: dict[int, Call] = {}
 
     def accept(self, new_callback: interface.NewCallback) -> None:
-        """One callback that came, or that an earlier process or module had taken on."""
+        """Accepts a callback that arrived, or that an earlier process or module had accepted.
+
+        A callback that arrived for a destination without known hosts is rejected.
+        """
         state = self.state
         known_destination = state.destinations.get(new_callback.destination)
-        # Danger: a start while discovery is down knows old hosts or none. What was taken on before is not turned away for
-        # that, nor for what came with it in this one moment: it had its place and its share when it came.
+        # A relay that starts while discovery is down knows outdated hosts or none. Callbacks that
+        # were accepted before are not rejected for that, nor because of others that arrive in the
+        # same step: they had their place and their quota when they arrived.
         if not new_callback.already_accepted and (
             known_destination is None or not known_destination.known_endpoint_count
         ):
@@ -68,16 +71,15 @@
         callback = Callback(
             new_callback, callback_class, callback_class.value * value_factor, over_quota
         )
-        if (
-            settings.value_halves and callback_class.late_value_share > 0.0
-        ):  # its payoff falls no more from then on
+        if settings.value_halves and callback_class.late_value_share > 0.0:
+            # from this time on its value stays constant
             callback.value_floor_at = callback.target_time - int(
                 callback_class.target_latency * log2(callback_class.late_value_share)
             )
         return callback
 
     def _join_call(self, callback: Callback, handed_over_call: interface.HandedOverCall) -> None:
-        """Its launch by an earlier process is out, and its outcome comes here."""
+        """Adds the callback to its call from an earlier process; the outcome will arrive here."""
         endpoint = self.state.endpoints[handed_over_call.host]
         call = self.handed_over_calls.setdefault(
             handed_over_call.number,
@@ -90,9 +92,12 @@
         self.lifecycle.set_state(callback, IN_FLIGHT)
 
     def _make_room(self) -> None:
-        """Danger: callbacks for a strained destination fill the relay, newcomers for healthy ones are turned away
-        at its door. While it is nearly full, what holds a place for the least payoff gives way at once; but not what
-        a restart found untried."""
+        """Evicts a waiting callback while the relay is nearly full.
+
+        Otherwise callbacks for an overloaded destination fill the relay, and new ones for healthy
+        destinations are rejected on arrival. The one with the least expected value for the time it
+        occupies its place is given up at once, but none that a restart found without an attempt.
+        """
         limit, callbacks = self.state.settings.max_pending, self.state.callbacks_by_id
         if limit is None or len(callbacks) < limit - limit // RESERVE_DIVISOR:
             return
@@ -105,7 +110,7 @@
             self.lifecycle.give_up(min(waiting, key=self._value_per_time))
 
     def _value_per_time(self, callback: Callback) -> float:
-        """Payoff when its turn comes, as things look, for the time that it takes a place."""
+        """Returns the value at the expected delivery, relative to the time until then."""
         state = self.state
         destination, delivery_at = state.ensure_destination(callback.destination), callback.deadline
         for endpoint in destination.endpoints:
--- a/molehill/decisions/call_scheduler.py
+++ b/molehill/decisions/call_scheduler.py
@@ -1,4 +1,4 @@
-"""What is launched now, and to which endpoint."""
+"""Chooses which callbacks are sent now, and to which endpoint."""
 
 from heapq import heappop
 from typing import Optional
@@ -13,20 +13,18 @@
 from molehill.decisions.limiter import SECOND
 from molehill.decisions.state import State
 
-# quarters of the slots that one destination may take
+# quarters of max_calls that one destination may use
 HEALTHY_QUARTERS, DEGRADED_QUARTERS = 3, 2
-LOOK_AHEAD = SECOND  # about one round of a short queue
-TIE_BREAK_FACTOR = 1.001  # of two that lose alike
-# times the odds for a host with an idle connection: a handshake is time, work and a price
+LOOK_AHEAD = SECOND  # about the time in which a short queue is served once
+TIE_BREAK_FACTOR = 1.001  # of two that lose the same by waiting, the more valuable goes first
+# factor on the odds of a host with an idle connection: a handshake costs time, work and a fee
 IDLE_CONNECTION_ODDS = 3.0
 MIN_ROOM = 0.25  # calls, for the odds
-LIMITER_RESET_AFTER = (
-    180 * SECOND
-)  # "some minutes" after which an idle destination's state is dropped
+LIMITER_RESET_AFTER = 180 * SECOND  # a limiter unused for this long forgets what it measured
 
 
 class CallScheduler:
-    """Launches what may go, first what loses the most by waiting."""
+    """Starts the calls that are allowed now, first for callbacks that lose the most by waiting."""
 
     def __init__(
         self,
@@ -37,10 +35,13 @@
     ) -> None:
         self.state, self.lifecycle = state, lifecycle
         self.health, self.idle_connections = health, idle_connections
-        self.destinations_at_limit: dict[int, bool] = {}  # destinations that lacked only a slot
+        self.destinations_at_limit: dict[int, bool] = {}  # that only max_calls held back
 
     def start_calls(self) -> None:
-        """In each destination that is to be looked at."""
+        """Starts calls to each destination that has to be checked.
+
+        While max_calls holds destinations back, they go in the order of value for a call's time.
+        """
         state = self.state
         candidates = {**self.destinations_at_limit, **state.destinations_to_check}
         state.destinations_to_check = {}
@@ -67,17 +68,17 @@
             self._start_call(destination, *chosen)
 
     def _choose_next(self, destination: Destination) -> Optional[tuple[Endpoint, Callback]]:
-        """The callback that goes next, and where to."""
+        """Returns the next callback and its endpoint; None if nothing can be sent now."""
         for callback in self._queue_heads(destination):
             endpoint = self._pick_endpoint(destination, callback)
             if endpoint is not None:
                 return endpoint, callback
             if callback.repeat_zone is None:
-                return None  # only one bound to a zone may lack a route that others have
+                return None  # only one bound to a zone can lack an endpoint where others have one
         return None
 
     def _queue_heads(self, destination: Destination) -> list[Callback]:
-        """The oldest of each lane, first the one whose delay by the look-ahead loses the most payoff."""
+        """Returns the head of each queue, first the one that loses the most value in LOOK_AHEAD."""
         heads = []
         for queues in list(destination.queues.values()):
             for at_value_floor, queue in enumerate(queues):
@@ -88,7 +89,7 @@
         return [head[-1] for head in sorted(heads)]
 
     def _drop_stale_heads(self, queue: list, at_value_floor: int) -> None:
-        """Takes off the lane's head what is not to be launched from there any more."""
+        """Removes callbacks from the queue's head that are no longer to be sent from this queue."""
         while queue:
             callback = queue[0][2]
             if callback.state is QUEUED and self.lifecycle.may_attempt(callback):
@@ -113,7 +114,10 @@
         )
 
     def _value_per_time(self, number: int) -> float:
-        """Danger: short of slots, slow destinations take most of their time. So: payoff for a slot's time."""
+        """Returns the value that a destination's first callback has for the time of its call.
+
+        Without this order, slow destinations take most of the calls' time when calls are scarce.
+        """
         state, destination = self.state, self.state.ensure_destination(number)
         if not destination.endpoints or state.calls_in_flight >= state.settings.max_calls:
             return 0
@@ -124,7 +128,10 @@
         return heads[0].value_at(state.now, state.settings.value_halves) / latency
 
     def _pick_endpoint(self, destination: Destination, callback: Callback) -> Optional[Endpoint]:
-        """One endpoint at random, odds in step with its room; a dearer zone only when no cheaper one has room."""
+        """Picks an endpoint at random, with odds proportional to its room.
+
+        A zone with a higher fee is used only when no cheaper one has room.
+        """
         cumulative_odds: list[tuple[float, Endpoint]] = []
         total_odds, least_fee = 0.0, None
         for endpoint in destination.endpoints:
@@ -145,7 +152,7 @@
         limiter, now = endpoint.limiter, self.state.now
         if callback.repeat_zone not in (None, endpoint.zone) or limiter.paused_until > now:
             return False
-        # Danger: small calls spend an allowance counted in calls. The upper half is for full ones.
+        # Small calls use up a limit that counts calls, so the window's upper half is for full ones.
         is_small = destination.waiting_count < endpoint.callbacks_per_call > 1
         if limiter.calls_in_flight >= int(limiter.window / 2 + 0.5 if is_small else limiter.window):
             return False
@@ -154,7 +161,7 @@
         return self._rate_allows(endpoint) and self.health.may_call(endpoint)
 
     def _rate_allows(self, endpoint: Endpoint) -> bool:
-        """Whether the rate allows a call now; a told one bounds what was learnt from refusals."""
+        """Whether the rate allows a call now; an advertised rate bounds the learned one."""
         state = self.state
         call_fill = state.destination_of(endpoint).waiting_count / endpoint.callbacks_per_call
         rate = pacing.allowed_rate(endpoint.limiter, state.settings.relay_count, call_fill)
@@ -184,7 +191,10 @@
         )
 
     def _start_call(self, destination: Destination, endpoint: Endpoint, callback: Callback) -> None:
-        """One call: the callback and, where the kind takes several, the next ones of the same destination."""
+        """Starts a call with this callback.
+
+        If the host's kind takes several, the destination's next callbacks go in the same call.
+        """
         state, limiter, now = self.state, endpoint.limiter, self.state.now
         is_unused = (
             now - limiter.last_used_at > LIMITER_RESET_AFTER and limiter.calls_in_flight == 0
--- a/molehill/decisions/callback.py
+++ b/molehill/decisions/callback.py
@@ -1,4 +1,4 @@
-"""A callback that the relay holds, its states, and what its delivery is worth over time."""
+"""A pending callback, its states, and the value of its delivery over time."""
 
 from typing import TYPE_CHECKING, Optional
 
@@ -8,14 +8,14 @@
 if TYPE_CHECKING:
     from molehill.decisions.endpoint import Call
 
-# WAITING_FOR_KEY: an earlier one of its key is not over, or the key rests; QUEUED: may be launched; IN_FLIGHT: a launch has no
-# outcome yet; COMPLETED: it has its final answer.
+# WAITING_FOR_KEY: an earlier callback of its key is not completed, or the key is in its cooldown.
+# QUEUED: may be sent. IN_FLIGHT: an attempt has no outcome yet. COMPLETED: it has its final answer.
 WAITING_FOR_KEY, QUEUED, IN_FLIGHT, COMPLETED = "turn", "queued", "out", "over"
 WAITING_STATES = (WAITING_FOR_KEY, QUEUED)
 
 
 class Callback:
-    """One callback from its arrival to its final answer. All times are nanoseconds of the relay's clock."""
+    """One callback from its arrival to its final answer; times are in nanoseconds."""
 
     def __init__(
         self,
@@ -24,34 +24,39 @@
         value: float,
         over_quota: bool,
     ) -> None:
-        """`new_callback`: as it was taken on; `callback_class`: its settings; `over_quota`: beyond its tenant's quota."""
+        """Makes a callback that has no state yet.
+
+        `value` is what a delivery in time is worth; `over_quota`: it exceeds its tenant's quota.
+        """
         self.id = new_callback.callback
         self.callback_class = callback_class
         self.value = value
         self.queue_group = (new_callback.callback_class, over_quota)
-        self.key: Optional[str] = None  # set where its order within the key counts
+        self.key: Optional[str] = None  # set if its class is ordered
         self.deadline = new_callback.deadline
         self.target_time = (
             new_callback.deadline - callback_class.time_limit + callback_class.target_latency
         )
-        self.value_floor_at = self.deadline  # from then on it loses no more by waiting
-        self.is_at_value_floor = False  # queued since it was stale
+        self.value_floor_at = self.deadline  # from then on its value stays constant
+        self.is_at_value_floor = False  # it was queued after value_floor_at
         self.destination = new_callback.destination
         self.state: Optional[str] = None
         self.attempts = new_callback.attempts
-        self.call: Optional[Call] = None  # the one that is out
-        self.untried_at_restart = False  # found untried by a restart
+        self.call: Optional[Call] = None  # in flight
+        self.untried_at_restart = False  # a restart found it without an attempt
         self.may_have_run = False
-        self.repeat_zone: Optional[int] = (
-            None  # once it may have run, the only zone where a repeat is known; None: any
-        )
-        # a repeat is known till then
+        # once it may have run, the only zone whose hosts recognize a repeat; None: any
+        self.repeat_zone: Optional[int] = None
+        # until then a repeat is harmless
         self.repeat_until = (
             self.deadline if callback_class.semantics is DeliverySemantics.IDEMPOTENT else 0
         )
 
     def value_at(self, time: int, value_halves: bool) -> float:
-        """The payoff of a delivery at that time; `value_halves`: it halves with each further span to the goal."""
+        """Returns the value of a delivery at that time; 0 from the deadline on.
+
+        After its target time it halves every target_latency (`value_halves`) or falls linearly.
+        """
         lateness = time - self.target_time
         if lateness <= 0:
             return self.value
--- a/molehill/decisions/dispatcher.py
+++ b/molehill/decisions/dispatcher.py
@@ -1,8 +1,9 @@
-"""Ties the decisions together by events.
+"""Passes events to the modules that decide, and returns their actions.
 
-Called as `dispatcher = Dispatcher(settings, seed)`, then `actions = dispatcher.step(now, events)` once a batch with all that
-came in by `now`; the types of both lists stand in molehill/interface.py. docs/design.md tells what is kept of the design page,
-what was changed, and when each exception acts.
+Create a `Dispatcher(settings, seed)`, then call `actions = dispatcher.step(now, events)` once a
+batch with all events up to `now`. molehill/interface.py defines the types of both lists.
+docs/design.md says what is kept of the design page, what was changed, and when each exception
+applies.
 """
 
 from typing import Callable
@@ -20,7 +21,7 @@
 
 
 class Dispatcher:
-    """The decisions of one relay."""
+    """Decides for one relay; it has no clock, input or output of its own."""
 
     def __init__(self, settings: interface.Settings, seed: interface.Id) -> None:
         self.state = State(settings, seed)
@@ -43,7 +44,10 @@
         }
 
     def step(self, now: int, events: list) -> list:
-        """What is to be done, in order, behind these events; `now` never falls. Events of other types are passed over."""
+        """Handles the events and returns the resulting actions in order.
+
+        `now` is in nanoseconds and never decreases. Events of unknown types are ignored.
+        """
         self.state.now, self.state.actions, self.admission.handed_over_calls = now, [], {}
         for event in events:
             handler = self.handlers.get(type(event))
@@ -57,7 +61,7 @@
         return self.state.actions
 
     def _run_timers(self) -> None:
-        """What a timer was set for is found by the clock."""
+        """Runs the tasks whose time has come, whatever timer event arrived."""
         while (expired := self.state.timers.pop_due(self.state.now)) is not None:
             task, argument = expired
             if task is None:
@@ -93,7 +97,7 @@
         self.lifecycle.advance_key(callback.key)
 
     def _complete_call(self, call: Call, event: interface.Outcome) -> None:
-        """The last callback of a call has its outcome."""
+        """Completes a call once its last callback has an outcome."""
         state, endpoint = self.state, call.endpoint
         state.count_calls(endpoint, -1)
         state.destinations_to_check[endpoint.destination] = True
@@ -113,13 +117,13 @@
         limiter.retry_after_until = max(limiter.retry_after_until, now + event.retry_after)
         limiter.paused_until = max(limiter.paused_until, limiter.retry_after_until)  # rule 6
         if not call.outcome_counted:
-            # first: a refusal is judged by the limit that it tells
+            # This comes first because a refusal is judged by the limit that it advertises.
             share_left = event.advertised_share_left
             if share_left is not None and event.result is interface.Result.REFUSED:
                 share_left = 0.0
             limiter.set_advertised(event.advertised_rate, share_left)
         if not call.outcome_counted or event.retry_after:
-            # a call of several is judged once, but each told wait counts
+            # A call with several callbacks is judged once, but each Retry-After counts.
             call.outcome_counted = True
             self.health.count_outcome(call, event)
 
@@ -129,11 +133,14 @@
             self.lifecycle.set_state(callback, COMPLETED)
 
     def _handle_stopping(self, event: interface.RelayStopping) -> None:
-        # danger: cut off there, a call may have run; so none goes shortly before
+        # A call that the stop cuts off may have run, so none is started shortly before it.
         self.state.stops_at = event.stops_at
 
     def _apply_settings(self, event: interface.NewSettings) -> None:
-        """New settings count for what comes and for each launch from here on; what is held keeps its category."""
+        """Applies new settings to new callbacks and new attempts.
+
+        Pending callbacks keep the class settings that they were accepted with.
+        """
         state = self.state
         state.settings = event.settings
         self.admission.tenant_quotas.add_buckets(len(event.settings.tenants))
@@ -143,14 +150,14 @@
             if callback.state in WAITING_STATES
         ]
         for callback in [c for c in waiting if not self.lifecycle.may_attempt(c)]:
-            # fewer launches may be allowed: it is answered at once
+            # The new max_attempts may be lower: callbacks beyond it are answered at once.
             self.lifecycle.give_up(callback)
         state.destinations_to_check.update(dict.fromkeys(state.destinations, True))
 
-    # What was measured, handed over to the next process of this relay
+    # Learned state, handed over to the next process of this relay
 
     def learned_state(self) -> list[dict]:
-        """What was measured, as plain rows."""
+        """Returns the learned state as rows of plain values, for `interface.LearnedState`."""
         rows: list[dict] = []
         for number, destination in self.state.destinations.items():
             rows.append(
@@ -169,7 +176,10 @@
         return rows + [self.idle_connections.handover_row()]
 
     def _restore_learned_state(self, event: interface.LearnedState) -> None:
-        """Danger: begun anew in the middle of a day, windows and rates push where the earlier process had learnt not to."""
+        """Restores what an earlier process had learned about hosts and destinations that are known.
+
+        Without it, a restart during the day overloads hosts whose limits the earlier process knew.
+        """
         for row in event.rows:
             if row.get("dest") in self.state.destinations:
                 self._restore_destination(row)
--- a/molehill/decisions/endpoint_health.py
+++ b/molehill/decisions/endpoint_health.py
@@ -1,4 +1,8 @@
-"""What a call's outcome says of its endpoint: window, ejection, return, and the rests behind failures and refusals."""
+"""What the outcome of a call means for its endpoint.
+
+It changes the window, ejects the endpoint or returns it to service, and sets the backoff after
+failures and refusals.
+"""
 
 from molehill import interface
 from molehill.decisions import slow_start
@@ -7,8 +11,8 @@
 from molehill.decisions.state import State
 from molehill.interface import Result
 
-OUTAGE_FAILURES = 2  # since the last good answer: one alone may be a call's own bad luck
-# smoothing and share of failures that closes: three in a row, no fewer
+OUTAGE_FAILURES = 2  # since the last successful answer; a single one may concern only its call
+# smoothing, and the share of failures that ejects: three in a row, no fewer
 FAILURE_SMOOTHING, EJECTION_FAILURE_SHARE = 0.25, 0.5
 
 
@@ -19,14 +23,17 @@
         self.state = state
 
     def count_outcome(self, call: Call, event: interface.Outcome) -> None:
-        """Counts a call's outcome, once a call."""
+        """Counts the outcome of a call.
+
+        A call with several callbacks is counted once, and again for each further Retry-After.
+        """
         endpoint, result, now = call.endpoint, event.result, self.state.now
         limiter, destination = endpoint.limiter, self.state.destination_of(endpoint)
         self._count_failures(call, event)
         cut_short = result is Result.TIMEOUT and event.duration < call.timeout
         idle_reset = result is Result.RESET and call.idle_time
         if cut_short or idle_reset or result in (Result.NOT_SENT, Result.CANCELLED):
-            return  # not the host's doing
+            return  # not caused by the host
         succeeded = result is Result.DELIVERED
         if not succeeded:
             limiter.count_failure(call.sent_at, now)
@@ -44,8 +51,12 @@
         self.update_state(endpoint, succeeded, call.sent_at, result)
 
     def _count_failures(self, call: Call, event: interface.Outcome) -> None:
-        """Danger: a relay with few calls sees too few failures to close a host that is silent for seconds, and feeds it by the
-        window alone as it returns, cold. So a good answer after failures that span as much as the settings count in is a return."""
+        """Counts timeouts, and begins slow start at the first successful answer after an outage.
+
+        A relay with few calls sees too few failures to eject a host that is silent for seconds, and
+        would limit it by the window alone when it returns cold. So a successful answer counts as a
+        return if the failures before it span at least overload_span.
+        """
         endpoint, overload_span = call.endpoint, self.state.settings.overload_span
         if event.result is Result.DELIVERED:
             enough_failures = (
@@ -60,9 +71,10 @@
             endpoint.failures_since_success = 0
             return
         if event.result is not Result.TIMEOUT:
-            # Danger: no connection may be had for want of room at the host, and errors be single calls': no outage either.
+            # Other failures are no outage: a connect may fail because the host has no room for more
+            # connections, and an error may concern a single call.
             return
-        # cut short by a callback's time it counts too, if an answer would have come by then
+        # A timeout cut short by a callback's deadline also counts if an answer was due by then.
         limiter, expected_within = endpoint.limiter, slow_start.REFUSAL_BACKOFF
         if limiter.latency:
             expected_within = limiter.latency + TIMEOUT_DEVIATIONS * limiter.deviation
@@ -70,7 +82,7 @@
             endpoint.count_failure(call.sent_at)
 
     def _begin_slow_start(self, endpoint: Endpoint) -> None:
-        """From now on it is fed under the budget until it is warm."""
+        """Limits the endpoint to the rate of slow start until it is warm."""
         endpoint.state, endpoint.state_since = SLOW_START, self.state.now
         endpoint.failure_share = 0.0
         endpoint.next_call_at = self.state.now + self.call_interval(endpoint)
@@ -78,7 +90,7 @@
         self.state.actions.append(interface.ReportHealth(endpoint.id, False, text))
 
     def call_interval(self, endpoint: Endpoint) -> int:
-        """As of slow_start.call_interval."""
+        """Returns `slow_start.call_interval` for the endpoint, in nanoseconds."""
         state = self.state
         return slow_start.call_interval(
             state.settings, endpoint, state.destination_of(endpoint), state.now
@@ -96,8 +108,9 @@
             limiter.advertised_rate and not event.advertised_rate and not event.retry_after
         )
         if limit_missing and len(destination.endpoints) > 1:
-            # Danger: a host that drains refuses before the list tells, and the others stand still with it.
-            # All that serve tell the limit; one that refuses without it does so for itself.
+            # A draining host refuses calls before the list says so, and the pause must not stop the
+            # others. All serving hosts advertise the limit; one that refuses without it refuses
+            # for itself only.
             endpoint.next_call_at = max(endpoint.next_call_at, now + self._backoff(endpoint))
             state.check_destination_at(endpoint.destination, endpoint.next_call_at)
             return
@@ -116,7 +129,7 @@
     def update_state(
         self, endpoint: Endpoint, succeeded: bool, sent_at: int, result: Result
     ) -> None:
-        """One answer or failure more, of a call sent at that time: whether it is closed, or back."""
+        """Ejects the endpoint or returns it to service after a call that was sent at that time."""
         failed = 0.0 if succeeded else 1.0
         endpoint.failure_share += (failed - endpoint.failure_share) * FAILURE_SMOOTHING
         if succeeded:
@@ -127,10 +140,10 @@
         if limiter.bad_rounds > 1:
             until = max(endpoint.next_call_at, self.state.now + self._backoff(endpoint))
             endpoint.next_call_at = until
-            # not silence: that may be the connection's own
+            # A timeout or a reset does not pause the limiter: it may concern the connection alone.
             if result in (Result.ERROR, Result.NO_CONNECT):
                 limiter.paused_until = max(limiter.paused_until, until)
-                # danger: nothing new comes, and it waits on
+                # Without this check, waiting callbacks stay queued if no new one arrives.
                 self.state.check_destination_at(endpoint.destination, until)
         if endpoint.failure_share > EJECTION_FAILURE_SHARE or endpoint.state is EJECTED:
             self._eject(endpoint, result)
@@ -147,7 +160,10 @@
         state.check_destination_at(endpoint.destination, endpoint.next_call_at)
 
     def may_call(self, endpoint: Endpoint) -> bool:
-        """Whether one that was away may get a call now: one trial at a time, then under the budget."""
+        """Whether the endpoint may get a call now.
+
+        An ejected endpoint gets one probe at a time, then calls at the rate of slow start.
+        """
         state = self.state
         if endpoint.next_call_at > state.now:
             state.check_destination_at(endpoint.destination, endpoint.next_call_at)
--- a/molehill/decisions/endpoint_list.py
+++ b/molehill/decisions/endpoint_list.py
@@ -1,30 +1,30 @@
-"""The list of endpoints as discovery tells it: who serves, who drains, and when what left is forgotten."""
+"""The endpoints as listed by discovery: which ones serve, and when those that left are removed."""
 
 from molehill import interface
 from molehill.decisions.endpoint import EJECTED, HEALTHY, Destination, Endpoint
 from molehill.decisions.limiter import SECOND, Limiter
 from molehill.decisions.state import State
 
-# jittered; sooner, many relays that were turned away keep the list overloaded
+# jittered; with a shorter delay, many relays that were refused keep discovery overloaded
 LIST_RETRY_DELAY = 2 * SECOND
-# longer than ramps and gaps in the list: one that comes back sooner is known
+# longer than slow starts and gaps in the list: a host that returns sooner keeps its state
 FORGET_AFTER = 30 * SECOND
 
 
 def settings_of_kind(settings: interface.Settings, number: int) -> interface.HostKind:
-    """The settings of a kind of endpoints; one that is not known takes a callback a call."""
+    """Returns the settings of a kind; an unknown one takes a single callback in a call."""
     return settings.kinds[number] if number < len(settings.kinds) else interface.HostKind(False, 1)
 
 
 class EndpointList:
-    """Keeps the state's endpoints and destinations as listed."""
+    """Keeps the endpoints and destinations of the state in step with the list."""
 
     def __init__(self, state: State, kind_count: int) -> None:
-        """`kind_count`: how many are told apart."""
+        """Makes a list for that many kinds; higher kind numbers count as the last one."""
         self.state, self.kind_count = state, kind_count
 
     def apply_update(self, update: interface.HostListUpdate) -> None:
-        """Discovery told something, or could not be asked."""
+        """Applies an update from discovery, or schedules a retry if the request failed."""
         state = self.state
         if update.scope is interface.ListScope.FAILED:
             retry_at = state.now + int(LIST_RETRY_DELAY * (0.5 + state.random()))
@@ -61,7 +61,7 @@
         return endpoint
 
     def _set_serving(self, endpoint: Endpoint, is_serving: bool) -> None:
-        """Rule 3: an endpoint that drains or is gone gets nothing new from this moment."""
+        """Rule 3: an endpoint that is draining or gone gets no new calls from now on."""
         state = self.state
         if endpoint.is_serving != is_serving:
             endpoint.is_serving = is_serving
@@ -81,13 +81,17 @@
         if not endpoint.is_serving:
             state.schedule(state.now + FORGET_AFTER, self._reset_usual_count, number)
         elif endpoint.state is HEALTHY:
-            # Danger: hosts are replaced faster than rests after refusals end. A new one gave no cause.
+            # Hosts are replaced faster than the backoff after refusals ends, and a new host has not
+            # caused it.
             endpoint.limiter.paused_until = endpoint.limiter.retry_after_until
             endpoint.limiter.bad_rounds = 0
         state.destinations_to_check[number] = True
 
     def _forget_endpoint(self, host: interface.Id) -> None:
-        """Danger: hosts come and go all day. What left is forgotten, with its destination if the last."""
+        """Removes an endpoint that left, and its destination if it was the last one there.
+
+        Hosts come and go all day, so without this the state would grow without bound.
+        """
         state = self.state
         endpoint = state.endpoints.get(host)
         if endpoint is None or endpoint.is_serving:
@@ -104,7 +108,10 @@
             del state.destinations[endpoint.destination]
 
     def _reset_usual_count(self, number: int) -> None:
-        """By now clients have got used to fewer hosts, or others have come in place of those that left."""
+        """Sets the usual count to the current one.
+
+        By now clients have adapted to fewer hosts, or others have replaced those that left.
+        """
         destination = self.state.destinations.get(number)
         if destination is not None:
             destination.usual_endpoint_count = len(destination.endpoints)
--- a/molehill/decisions/lifecycle.py
+++ b/molehill/decisions/lifecycle.py
@@ -1,4 +1,4 @@
-"""A callback's way through its states: per-key order, what may be launched still, and its final answer."""
+"""Callback states: order within a key, whether an attempt is allowed, and the final answer."""
 
 from heapq import heappush
 from typing import Optional
@@ -10,23 +10,24 @@
 from molehill.decisions.state import State
 from molehill.interface import DeliverySemantics
 
-# a client counts from when it sent: its way here and one batch, as batches are no closer
+# A client counts its deadline from the time it sent the callback. This covers the way to the relay
+# and one batch, as batches are at least that far apart.
 CLIENT_DELAY = SECOND // 200
-REPEAT_WINDOW_SHARE = 15, 16  # of a repeat's window: a new connection takes its time
-LATENCY_DIVISOR = 16  # of the span to its end that a call's latency counts at most
-REJECT_RETRY_AFTER = SECOND  # a queue thins by then
+REPEAT_WINDOW_SHARE = 15, 16  # of the deduplication window; the rest is for a new connection
+LATENCY_DIVISOR = 16  # an expected latency counts up to 1/16 of the class's time limit
+REJECT_RETRY_AFTER = SECOND  # by then a queue has become shorter
 
 
 class Lifecycle:
-    """Every change of a callback's state."""
+    """Makes every change of a callback's state."""
 
     def __init__(self, state: State) -> None:
         self.state = state
-        self.callbacks_by_key: dict[str, list[Callback]] = {}  # the oldest of a key first
-        self.cooldowns: dict[str, int] = {}  # key -> until when it rests
+        self.callbacks_by_key: dict[str, list[Callback]] = {}  # oldest first
+        self.cooldowns: dict[str, int] = {}  # key -> end of its cooldown
 
     def set_state(self, callback: Callback, new_state: str) -> None:
-        """Into that state."""
+        """Moves the callback to that state; one without a key skips WAITING_FOR_KEY."""
         if new_state is WAITING_FOR_KEY and callback.key is None:
             new_state = QUEUED
         old_state, callback.state = callback.state, new_state
@@ -40,8 +41,9 @@
             self.advance_key(callback.key)
 
     def _enqueue(self, callback: Callback, destination: Destination) -> None:
-        # Danger: after an outage all that waits is late alike, and oldest first nothing is in time again.
-        # What loses no more by waiting goes after the rest. One whose launch failed yields a second.
+        # After an outage all waiting callbacks are late, and with the oldest first none would be in
+        # time again. So those that lose no more value by waiting go after the rest. Each attempt
+        # moves a callback back by one second in the order.
         callback.is_at_value_floor = self.state.now >= callback.value_floor_at
         queue_key = (callback.queue_group, callback.may_have_run, callback.repeat_zone)
         queues = destination.queues.setdefault(queue_key, ([], []))
@@ -51,17 +53,20 @@
         self.state.destinations_to_check[callback.destination] = True
 
     def add_to_key(self, callback: Callback, key: str) -> None:
-        """Behind those of its key that came before."""
+        """Adds the callback behind earlier ones of its key."""
         callback.key = key
         self.callbacks_by_key.setdefault(key, []).append(callback)
 
     def start_key_cooldown(self, key: str, until: int) -> None:
-        """Nothing of that key is launched until then."""
+        """Allows no attempt for callbacks of that key until then."""
         self.cooldowns[key] = max(until, self.cooldowns.get(key, 0))
         self.state.schedule(until, self.advance_key, key)
 
     def advance_key(self, key: Optional[str]) -> None:
-        """Rule 5: a key's oldest goes once all before it are over, with no launch out, and the key rested."""
+        """Rule 5: queues a key's oldest callback if it may be sent.
+
+        All before it have to be completed with no attempt in flight, and the cooldown to be over.
+        """
         if key is None:
             return
         callbacks = self.callbacks_by_key.get(key, [])
@@ -75,7 +80,11 @@
             self.cooldowns.pop(key, None)
 
     def mark_may_have_run(self, callback: Callback, sent_at: int, zone: Optional[int]) -> None:
-        """Rule 2: from the first such launch on, a deduplicated one goes only where and while it is known."""
+        """Rule 2: notes an attempt that may have run.
+
+        From the first one on, a deduplicated callback is sent only where and while hosts recognize
+        the repeat.
+        """
         callback_class = callback.callback_class
         if not callback.may_have_run and callback_class.semantics is DeliverySemantics.DEDUPLICATED:
             callback.repeat_zone = None if callback_class.deduplicated_everywhere else zone
@@ -87,12 +96,15 @@
         callback.may_have_run = True
 
     def may_attempt(self, callback: Callback) -> bool:
-        """Rule 2: whether it may be launched now. Danger: in a long queue all go too late for an answer."""
+        """Rule 2: whether an attempt is allowed now.
+
+        It has to leave time for an answer: else, in a long queue, all are sent too late for one.
+        """
         latest_end = callback.deadline
         if callback.may_have_run:
             latest_end = min(latest_end, callback.repeat_until)
         endpoints = self.state.ensure_destination(callback.destination).endpoints
-        # bounded, so that a slow spell long past shuts nobody out
+        # bounded, so that high latencies measured long ago exclude no callback
         longest_latency = callback.callback_class.time_limit // LATENCY_DIVISOR
         latency = min(
             [longest_latency, *(endpoint.limiter.baseline_latency or 0 for endpoint in endpoints)]
@@ -102,25 +114,26 @@
         return self.state.now + max(CLIENT_DELAY, latency) < latest_end
 
     def check_deadline(self, callback_id: interface.Id) -> None:
-        """Its time may be over now."""
+        """Gives a waiting callback up if no attempt is allowed any more."""
         callback = self.state.callbacks_by_id.get(callback_id)
         if callback is None or callback.state not in WAITING_STATES:
             return
         if not self.may_attempt(callback):
             self.give_up(callback)
         elif self.state.now < callback.deadline:
-            # Danger: too late by a latency that has fallen since, it may wait for its turn, and nothing else looks at it.
+            # It was too late for a latency that has decreased since. It may still wait for its key,
+            # and nothing else checks it.
             self.state.schedule(callback.deadline, self.check_deadline, callback_id)
 
     def reject_retry_after(self) -> int:
-        """When a rejected one may come again; 0: not told."""
+        """Returns the Retry-After of a rejection in nanoseconds; 0: none."""
         settings = self.state.settings
         return (
             min(REJECT_RETRY_AFTER, settings.max_retry_after) if settings.sends_retry_after else 0
         )
 
     def give_up(self, callback: Callback) -> None:
-        """The final answer for what is not delivered: rejected where that is harmless, else failed."""
+        """Completes an undelivered callback: rejects it where that is harmless, else fails it."""
         callback_class = callback.callback_class
         reject_before = callback.deadline - (CLIENT_DELAY if callback.may_have_run else 0)
         repeats_dropped_everywhere = (
--- a/molehill/decisions/limiter.py
+++ b/molehill/decisions/limiter.py
@@ -1,6 +1,7 @@
-"""The concurrency window of a destination or of a single endpoint, led by latency, with its pauses and its rate.
+"""The concurrency window of a destination or a single endpoint, with its pauses and its rate.
 
-The window opens while answers are about as fast as the best of late, and closes a little with each that is slow or bad.
+Latency controls the window: it increases while answers are about as fast as the best recent ones,
+and decreases a little with each slow answer or failure.
 """
 
 from typing import Optional
@@ -10,28 +11,28 @@
 
 SECOND = 1_000_000_000
 
-INITIAL_WINDOW, MIN_WINDOW = 2.0, 1.0  # calls out at once
-DECREASE_FACTOR = 0.9  # of the window with a slow or bad answer
-REFUSAL_DECREASE_FACTOR = 0.5  # with one that was turned away
-SLOW_LATENCY_MULTIPLE = 2.0  # of the best latency: what is slower is slow
-BASELINE_SPAN = 5 * SECOND  # in which the best latency is looked for, twice
-SERVED_RATE_SPAN = 2 * SECOND  # for served rates: no shorter than spans that allowances count in
-LEARNED_RATE_STEP = (
-    0.1  # calls a second for a good answer: a small allowance is regained in seconds
-)
-MIN_LEARNED_RATE = 0.5  # calls a second: one call in two seconds still learns that there is room
-ADVERTISED_SHARE_SMOOTHING = (
-    0.25  # smoothing: what is told is up to a second old, and falls and rises with each span
-)
-TIMEOUT_DEVIATIONS = 6  # of latency beyond its mean that an answer may take; TCP: 4
-MIN_TIMEOUT = SECOND  # below this a new connection's handshakes would read as silence
-MAX_TIMEOUT_DOUBLINGS = 2  # of the time-out while nothing comes
+INITIAL_WINDOW, MIN_WINDOW = 2.0, 1.0  # calls in flight
+DECREASE_FACTOR = 0.9  # on the window, for a slow answer or a failure
+REFUSAL_DECREASE_FACTOR = 0.5  # on the window, for a refusal
+SLOW_LATENCY_MULTIPLE = 2.0  # of the best latency; anything slower is slow
+BASELINE_SPAN = 5 * SECOND  # the best latency is that of the current span and the one before
+SERVED_RATE_SPAN = 2 * SECOND  # not shorter than the spans that hosts' limits are counted in
+LEARNED_RATE_STEP = 0.1  # calls a second per success; a low limit is regained within seconds
+MIN_LEARNED_RATE = 0.5  # calls a second; one call in two seconds still finds out about spare room
+# the advertised share is up to a second old, and falls and rises within each span of the limit
+ADVERTISED_SHARE_SMOOTHING = 0.25
+TIMEOUT_DEVIATIONS = 6  # added to the mean latency; TCP adds 4
+MIN_TIMEOUT = SECOND  # with less, the handshakes of a new connection would count as a timeout
+MAX_TIMEOUT_DOUBLINGS = 2  # while no answer arrives
 
 
 class Limiter:
-    """Window, pauses and rate of one route. Times are nanoseconds of the relay's clock, rates are calls a second."""
+    """Window, pauses and rate of one route.
 
-    # what is handed over to the next process: the row's key -> the field
+    Times are in nanoseconds of the relay's clock, rates in calls a second.
+    """
+
+    # handed over to the next process: key in the row -> attribute
     HANDED_OVER = {
         "limit": "window",
         "fresh": "is_doubling",
@@ -59,41 +60,43 @@
         self.reset(now, advertised_rate)
 
     def reset(self, now: int, advertised_rate: float) -> None:
-        """Forgets all that was measured."""
+        """Forgets all measurements."""
         self.window = INITIAL_WINDOW
-        self.is_doubling = True  # until the first slow or bad answer
+        self.is_doubling = True  # until the first slow answer or failure
         self.calls_in_flight = 0
         self.last_used_at = now
         self.paused_until = 0
-        self.retry_after_until = 0  # what is left of a pause beyond it is a rest
+        self.retry_after_until = 0  # a pause beyond this time is a backoff
         self.latency: Optional[int] = None  # smoothed
         self.deviation = 0  # of the latency, smoothed
-        self.baseline_latency: Optional[int] = None  # of this baseline
-        self.previous_baseline_latency: Optional[int] = None  # of the baseline before
+        self.baseline_latency: Optional[int] = None  # in this span
+        self.previous_baseline_latency: Optional[int] = None  # in the span before
         self.baseline_since = now
-        self.learned_rate = 0.0  # from refusals; 0: none
-        self.advertised_rate = advertised_rate  # by answers or the list; 0: none
-        self.advertised_share_left: Optional[float] = (
-            None  # of the told rate that is left, smoothed; None: not told
-        )
+        self.learned_rate = 0.0  # learned from refusals; 0: none
+        self.advertised_rate = advertised_rate  # in answers or the host list; 0: none
+        # remaining share of the advertised limit, smoothed; None: not advertised
+        self.advertised_share_left: Optional[float] = None
         self.credit, self.credit_updated_at = 0.0, now  # calls that the rate allows now
         self.served_count, self.served_since, self.served_rate = 0, now, 0.0
-        # Rounds in a row in which something failed: failures of calls that were out together count once
+        # consecutive rounds with a failure; calls in flight together count as one round
         self.bad_rounds, self.bad_round_at = 0, 0
 
     def handover_row(self) -> dict:
-        """What was measured, for the next process of this relay."""
+        """Returns the learned state for the next process of this relay."""
         return {key: getattr(self, name) for key, name in self.HANDED_OVER.items()}
 
     def restore_row(self, row: dict) -> None:
-        """What an earlier process measured; keys that this one does not know are passed over."""
+        """Restores the learned state of an earlier process; unknown keys are ignored."""
         for key, value in row.items():
             if key in self.HANDED_OVER:
                 setattr(self, self.HANDED_OVER[key], value)
 
     def update_baseline(self, latest_latency: int, now: int) -> int:
-        """The least latency of this baseline and the one before, smoothed as TCP smooths round trips, with an answer that
-        took that long."""
+        """Counts an answer's latency, and returns the least smoothed latency in two spans.
+
+        Latency is smoothed as TCP smooths round-trip times; the spans are this one and the one
+        before.
+        """
         if self.latency:
             self.deviation += (abs(latest_latency - self.latency) - self.deviation) // 4
             self.latency += (latest_latency - self.latency) // 8
@@ -110,15 +113,18 @@
         return min(self.baseline_latency, self.previous_baseline_latency or self.baseline_latency)
 
     def is_slow(self, latest_latency: int, now: int) -> bool:
-        """Counts a good answer's latency. Danger: tails beyond any tolerance read as slow. Slow is what is slow itself and in
-        the mean."""
+        """Counts the latency of a successful answer; returns whether it shows a slow host.
+
+        Single answers in the tail of the distribution exceed any tolerance, so both this latency
+        and the smoothed one have to be slow.
+        """
         baseline = self.update_baseline(latest_latency, now)
         return (
             min(latest_latency, self.latency or latest_latency) > SLOW_LATENCY_MULTIPLE * baseline
         )
 
     def count_success(self, now: int) -> None:
-        """One good answer more."""
+        """Counts a successful answer for the served rate, and ends a row of bad rounds."""
         self.bad_rounds = 0
         self.served_count += 1
         span = now - self.served_since
@@ -129,26 +135,30 @@
             self.learned_rate += LEARNED_RATE_STEP
 
     def count_failure(self, sent_at: int, now: int) -> None:
-        """One failure more, of a call sent at that time."""
+        """Counts a failure of a call that was sent at that time."""
         if sent_at >= self.bad_round_at:
             self.bad_rounds, self.bad_round_at = self.bad_rounds + 1, now
 
     def increase(self, max_window: float) -> None:
-        """The window after a fast answer."""
+        """Increases the window after a fast answer."""
         self.window = min(
             self.window + (1.0 if self.is_doubling else 1.0 / self.window), max_window
         )
 
     def decrease(self, factor: float) -> None:
-        """The window after a slow or bad answer."""
+        """Decreases the window after a slow answer or a failure."""
         self.window = max(MIN_WINDOW, self.window * factor)
         self.is_doubling = False
 
     def learn_rate_from_refusal(
         self, now: int, relay_count: int, limits_are_advertised: bool
     ) -> None:
-        """Danger: at an allowance latency stays flat. So the rate served becomes the rate that is kept to. Where answers tell
-        allowances and none was told, there is none: refused at a drain or a full queue."""
+        """Learns a rate from a refusal.
+
+        At a rate limit latency stays flat, so the served rate becomes the learned rate. Where
+        limits are advertised and this route's is not, it has none: the refusal came from a draining
+        host or a full queue.
+        """
         span = max(SECOND, now - self.served_since)
         served_rate = max(self.served_rate, self.served_count * SECOND / span)
         if self.advertised_rate or not limits_are_advertised:
@@ -159,10 +169,11 @@
         self.credit, self.credit_updated_at = 0.0, now
 
     def set_advertised(self, rate: float, share_left: Optional[float]) -> None:
-        """What an answer tells of its allowance; zero and None where it tells nothing.
+        """Takes the limit from an answer; zero and None where it advertises nothing.
 
-        Danger: refused calls use a told limit up, and many relays that each learn from refusals alone run into it all day. So
-        each calls at its even part, more while much is left, less while little is.
+        Refused calls use up an advertised limit too, and many relays that each learn from refusals
+        alone exceed it all day. So each relay calls at its even share of the limit, more while much
+        is left, less while little is.
         """
         self.advertised_rate = rate or self.advertised_rate
         if share_left is None:
@@ -175,10 +186,12 @@
             ) * ADVERTISED_SHARE_SMOOTHING
 
     def call_timeout(self, callback: Callback, now: int) -> int:
-        """How long a call for that callback may take: learnt as TCP learns it, doubled while nothing comes.
+        """Returns the timeout of a call for that callback, in nanoseconds.
 
-        What may not be repeated is over with it, so it waits for its goal time at least. Danger: to the end, those out at hosts
-        that hang hold all slots.
+        It is learned as TCP learns its retransmission timeout, and doubled while no answer arrives.
+        A timeout completes a callback that must not be repeated, so it gets its target latency at
+        least. It does not get the whole time to its deadline: calls to hosts that hang would then
+        take up all of max_calls.
         """
         target_latency = callback.callback_class.target_latency
         span = (
--- a/molehill/decisions/slow_start.py
+++ b/molehill/decisions/slow_start.py
@@ -1,31 +1,29 @@
-"""Slow start: how often an endpoint that was away is called while it warms up, and how long a failing one rests."""
+"""Slow start: the call rate of a returning endpoint, and the backoff of a failing one."""
 
 from molehill.decisions.endpoint import SLOW_START, Destination, Endpoint
 from molehill.decisions.limiter import SECOND
 from molehill.interface import Settings
 
-CAPACITY_OVER_DEMAND = (
-    1.7  # relays that saw no failure bring calls too: those that did may bring two thirds
-)
-REFUSAL_BACKOFF = (
-    SECOND * 3 // 10
-)  # where a refusal tells no wait; 1 s idles much of a small allowance
-BACKOFF_GROWTH = (
-    4  # of the rest with each bad round in a row; doubling still pushed returning destinations over
-)
+# Relays that saw no failure call a returning host too: those that did may send two thirds of what
+# it can take.
+CAPACITY_OVER_DEMAND = 1.7
+REFUSAL_BACKOFF = SECOND * 3 // 10  # without a Retry-After; 1 s leaves much of a low limit unused
+# factor with each consecutive bad round; doubling still overloaded returning destinations
+BACKOFF_GROWTH = 4
 MAX_BACKOFF_ROUNDS = 4
 
 
 def call_interval(
     settings: Settings, endpoint: Endpoint, destination: Destination, now: int
 ) -> int:
-    """Rule 4: the span between two calls to an endpoint that was away, in nanoseconds.
+    """Rule 4: returns the nanoseconds between two calls to an ejected or returning endpoint.
 
-    What it can do is about what is asked of it, and a relay's fair part is what that relay is asked for, or an even part of a
-    told rate. Danger: it can do no more for its siblings being away, so each endpoint counts for its part of a usual list.
+    Its capacity is about the demand for it, and a relay's fair share of that is the demand at this
+    relay, or an even share of an advertised rate. The capacity is no higher while other endpoints
+    of the destination are missing, so each endpoint counts for its share of the usual list.
     """
     slow_start_time = settings.slow_start_time
-    cold_share = settings.cold_capacity_share or 1.0  # no such rule: as warm as ever
+    cold_share = settings.cold_capacity_share or 1.0  # not set: never cold
     warm_share = 0.0
     if slow_start_time and endpoint.state is SLOW_START:
         warm_share = (now - endpoint.state_since) / slow_start_time
@@ -44,15 +42,15 @@
 def backoff(
     settings: Settings, endpoint: Endpoint, destination: Destination, now: int, random: float
 ) -> int:
-    """How long a failing endpoint rests, in nanoseconds; `random`: a number drawn from 0 to 1.
+    """Returns the backoff of a failing endpoint in nanoseconds; `random` is a number from 0 to 1.
 
-    Danger: many relays with few callbacks each try a strained destination often, or all at the end of a told wait, and push it
-    over as it returns. Each rests half its time between two, longer each round.
+    Many relays with few callbacks each would retry an overloaded destination often, or all at the
+    end of a Retry-After, and overload it again as it returns. So each waits half to one and a half
+    times its span, which grows with each round.
     """
     longest_backoff = call_interval(settings, endpoint, destination, now)
-    explained_rounds = (
-        2 if endpoint.limiter.advertised_rate else 1
-    )  # a told limit explains one refusal
+    # an advertised limit explains one refusal
+    explained_rounds = 2 if endpoint.limiter.advertised_rate else 1
     rounds = min(endpoint.limiter.bad_rounds - explained_rounds, MAX_BACKOFF_ROUNDS)
     span = REFUSAL_BACKOFF
     if rounds >= 0:
--- a/molehill/decisions/state.py
+++ b/molehill/decisions/state.py
@@ -1,4 +1,4 @@
-"""What the modules of this package share: the settings, the time of this step, and all that is held."""
+"""State shared by the modules of this package: settings, time of the step, pending callbacks."""
 
 from random import Random
 from typing import Any
@@ -10,7 +10,7 @@
 
 
 class State:
-    """One relay's. `actions`: what this step asks for, in order."""
+    """The state of one relay; `actions` are those of the current step, in order."""
 
     def __init__(self, settings: interface.Settings, seed: interface.Id) -> None:
         self.settings = settings
@@ -18,38 +18,36 @@
         self.now = 0
         self.actions: list = []
         self.timers = Timers()
-        self.callbacks_by_id: dict[
-            interface.Id, Callback
-        ] = {}  # not over, or over with a launch out
+        # not completed, or completed with an attempt in flight
+        self.callbacks_by_id: dict[interface.Id, Callback] = {}
         self.endpoints: dict[interface.Id, Endpoint] = {}
         self.destinations: dict[int, Destination] = {}
-        self.destinations_to_check: dict[
-            int, Any
-        ] = {}  # destinations where something may be launched
+        # an ordered set, as keys: destinations where a call may be started
+        self.destinations_to_check: dict[int, Any] = {}
         self.calls_in_flight = 0
-        self.stops_at = float("inf")  # the relay's own end
+        self.stops_at = float("inf")  # when the relay stops
 
     def schedule(self, when: int, task: Task, argument: Any) -> None:
-        """As of Timers."""
+        """Schedules `task(argument)` at that time, as `Timers.schedule` does."""
         self.timers.schedule(when, task, argument)
 
     def check_destination_at(self, destination: int, when: int) -> None:
-        """Something may be launched there at that time."""
+        """Has the destination checked at that time for calls that may be started."""
         self.timers.schedule(when, None, destination)
 
     def ensure_destination(self, number: int) -> Destination:
-        """That of this number; a new one where it is not known."""
+        """Returns the destination of this number, and adds it if it is not known."""
         destination = self.destinations.get(number)
         if destination is None:
             destination = self.destinations[number] = Destination(self.now)
         return destination
 
     def destination_of(self, endpoint: Endpoint) -> Destination:
-        """That of a known endpoint."""
+        """Returns the destination of a known endpoint; KeyError if it is not known."""
         return self.destinations[endpoint.destination]
 
     def count_calls(self, endpoint: Endpoint, change: int) -> None:
-        """So many calls more are out to it."""
+        """Adds `change` to the numbers of calls in flight to the endpoint, in all totals."""
         self.calls_in_flight += change
         endpoint.calls_in_flight += change
         self.destination_of(endpoint).calls_in_flight += change
--- a/molehill/decisions/tenant_quotas.py
+++ b/molehill/decisions/tenant_quotas.py
@@ -1,26 +1,25 @@
-"""Tenant quotas: a token bucket for each, at this relay's even part of its quota."""
+"""Tenant quotas: a token bucket for each tenant, at this relay's even share of its quota."""
 
 from molehill.decisions.limiter import SECOND
 from molehill.interface import Settings
 
-BURST_SECONDS = 2.0  # seconds of the quota, for clumps
+BURST_SECONDS = 2.0  # seconds of the quota; allows bursts
 
 
 class TenantQuotas:
-    """Which callbacks are beyond the share of their tenant; such are worth less, and are not turned away for it."""
+    """Finds callbacks beyond their tenant's quota; they have less value but are not rejected."""
 
     def __init__(self, tenant_count: int) -> None:
-        self.buckets = [
-            [float("inf"), 0] for _ in range(tenant_count)
-        ]  # tokens, and when they were counted
+        # tokens, and when they were counted
+        self.buckets = [[float("inf"), 0] for _ in range(tenant_count)]
 
     def add_buckets(self, tenant_count: int) -> None:
-        """For new settings with that many tenants; those that were there keep their buckets."""
+        """Adds buckets for new settings with that many tenants; existing tenants keep theirs."""
         missing = tenant_count - len(self.buckets)
         self.buckets += [[float("inf"), 0] for _ in range(missing)]
 
     def is_over_quota(self, settings: Settings, tenant: int, now: int) -> bool:
-        """Whether one more callback of that tenant is beyond its quota; takes a token where it is not."""
+        """Whether another callback exceeds that tenant's quota; takes a token if it does not."""
         quota = settings.tenants[tenant].quota if tenant < len(settings.tenants) else None
         if not quota:
             return False
--- a/molehill/decisions/timers.py
+++ b/molehill/decisions/timers.py
@@ -1,4 +1,4 @@
-"""Work that is due at a time of the relay's clock, in the order of its times."""
+"""A queue of tasks, ordered by the time of the relay's clock at which they are due."""
 
 from heapq import heappop, heappush
 from typing import Any, Callable, Optional
@@ -7,31 +7,35 @@
 
 
 class Timers:
-    """`serial` numbers what has an order of its own besides: of two due at one time the one set first goes first."""
+    """Tasks by due time; of two that are due at the same time, the one scheduled first goes first.
+
+    `serial` numbers the tasks for that, and also what other queues keep in order. Times are in
+    nanoseconds.
+    """
 
     def __init__(self) -> None:
         self.heap: list[tuple[int, int, Task, Any]] = []
         self.serial = 0
-        self.wake_at: Optional[int] = None  # as was asked for last
+        self.wake_at: Optional[int] = None  # as last requested
 
     def next_serial(self) -> int:
-        """A number that was not given before."""
+        """Returns a number higher than all before."""
         self.serial += 1
         return self.serial
 
     def schedule(self, when: int, task: Task, argument: Any) -> None:
-        """`task(argument)` at that time; None: the destination of that number is to be looked at."""
+        """Schedules `task(argument)` at that time; None: checks the destination of that number."""
         heappush(self.heap, (when, self.next_serial(), task, argument))
 
     def pop_due(self, now: int) -> Optional[tuple[Task, Any]]:
-        """The first that is due, taken off; None if none is."""
+        """Removes and returns the first task that is due, with its argument; None if none is."""
         if not self.heap or self.heap[0][0] > now:
             return None
         _, _, task, argument = heappop(self.heap)
         return task, argument
 
     def next_wake_delay(self, now: int) -> Optional[int]:
-        """In how many nanoseconds the relay has to come back, where it was not told so before."""
+        """Returns nanoseconds until the next task; None: no task, or already requested."""
         if not self.heap:
             return None
         first_at = self.heap[0][0]
