--- a/molehill/benchlink/__main__.py
+++ b/molehill/benchlink/__main__.py
@@ -1,4 +1,7 @@
-"""Hosts many instances of the decision module on the bench's wire: standard input in, standard output out."""
+"""Runs many instances of the decision module for the simulator.
+
+It reads the simulator's text protocol from standard input and writes replies to standard output.
+"""
 
 import gc
 import sys
@@ -9,32 +12,41 @@
 
 
 class InstanceServer:
-    """The instances of one process. They share this table and nothing else."""
+    """Holds the instances of one process; they share nothing but this object."""
 
     def __init__(self, input_lines):
         self.input_lines = input_lines
-        self.line_number = 0  # of the line read last
+        self.line_number = 0  # of the last line read
         self.instances: dict[int, Dispatcher] = {}
-        # where an instance's reports hold the told limit
+        # where an instance's telemetry fields hold the advertised limit
         self.limit_positions: dict[int, tuple | None] = {}
         self.host_tables: dict[int, list[interface.HostEntry]] = {}
 
     def read_line(self) -> str:
+        """Returns the next line with its line end; an empty text at the end of input."""
         line = self.input_lines.readline()
         self.line_number += 1
         return line
 
     def read_host_table(self, table: str, count: str) -> None:
+        """Reads the `count` lines of a host table, and keeps it under its number.
+
+        Raises ConfigError if a line is not a valid 'host' line.
+        """
         rows = []
         for _ in range(codec.parse_integer(count)):
             fields = self.read_line().split()
             if len(fields) < 7 or fields[0] != "host":
-                raise codec.WireError("a 'host' line with its values was due")
+                raise codec.WireError("expected a 'host' line with its values")
             rows.append(codec.parse_host_entry(fields[1:]))
         self.host_tables[codec.parse_integer(table)] = rows
 
     def run_batch(self, now: int) -> str:
-        """Reads events up to 'commit' and gives the reply; each instance gets its own in order of arrival."""
+        """Reads events up to 'commit', runs a step of each instance concerned, returns the reply.
+
+        Each instance gets its own events in order of arrival. Raises ConfigError if a line is
+        invalid; an exception in an instance becomes a 'crash' line in the reply.
+        """
         batches: dict[int, list] = {}
         replies: list[str] = []
 
@@ -50,7 +62,7 @@
                 self.read_host_table(fields[1], fields[2])
                 continue
             if len(fields) < 2:
-                raise codec.WireError("an event without its values")
+                raise codec.WireError("an event lacks its values")
             instance = codec.parse_integer(fields[1])
             if event_name == "launch":
                 if len(fields) < 3:
@@ -99,13 +111,14 @@
             try:
                 actions = self.instances[instance].step(now, events)
                 replies.extend(codec.format_action(instance, action) for action in actions)
-            except Exception as error:  # the module broke: the wire has a word for that
+            except Exception as error:  # the protocol reports it as a crash
                 replies.append(
                     f"crash {instance} {type(error).__name__}: {' '.join(str(error).split())}\n"
                 )
         return "".join(replies)
 
     def run(self, write, flush) -> None:
+        """Answers batches until the input ends; WireError if one does not begin with 'round'."""
         while True:
             line = self.read_line()
             if not line:
@@ -114,12 +127,13 @@
             if not fields:
                 continue
             if fields[0] != "round" or len(fields) < 2:
-                raise codec.WireError("a 'round' line was due")
+                raise codec.WireError("expected a 'round' line")
             write(self.run_batch(codec.parse_nanoseconds(fields[1])) + "ready\n")
             flush()
 
 
 def main() -> int:
+    """Serves the simulator; returns the exit code, 2 after invalid input or a closed pipe."""
     gc.freeze()
     server = InstanceServer(sys.stdin)
     try:
--- a/molehill/benchlink/codec.py
+++ b/molehill/benchlink/codec.py
@@ -1,4 +1,4 @@
-"""The bench's text wire, both ways. It translates and nothing else; molehill/interface.py has the types."""
+"""Translates between the simulator's text protocol and the types of molehill/interface.py."""
 
 from molehill import interface
 from molehill.config import (
@@ -34,21 +34,26 @@
 
 
 class WireError(ConfigError):
-    """A line that the wire's page does not allow."""
+    """A line that the protocol does not allow."""
 
 
 def format_milliseconds(span: int) -> str:
-    """A span in nanoseconds to milliseconds, rounded up to the wire's microsecond."""
+    """Formats a span of nanoseconds in milliseconds, rounded up to whole microseconds."""
     microseconds = -(-span // 1000)
     return f"{microseconds // 1000}.{microseconds % 1000:03d}"
 
 
 def parse_optional(text: str, parse, default):
+    """Returns the parsed text, or the default for '-'."""
     return default if text == "-" else parse(text)
 
 
 def advertised_limit(fields: list[str], index: int, positions):
-    """The report's limit in calls a second and the share of it that is left, at their places among the fields."""
+    """Returns the limit in calls a second and its remaining share, from an outcome's telemetry.
+
+    The telemetry is the field at `index`; `positions` say where it holds the two values, None: not
+    at all. Without a limit the result is 0.0 and None.
+    """
     values = (
         fields[index].split(",")
         if positions is not None and len(fields) > index and fields[index] != "-"
@@ -62,6 +67,7 @@
 
 
 def parse_host_entry(fields: list[str]) -> interface.HostEntry:
+    """Parses the values of a 'host' line; ConfigError if one is invalid."""
     return interface.HostEntry(
         parse_integer(fields[0]),
         parse_optional(fields[1], parse_integer, 0),
@@ -73,6 +79,7 @@
 
 
 def parse_new_callback(fields: list[str]) -> interface.NewCallback:
+    """Parses the values of a 'new_request' event; ConfigError if one is invalid."""
     return interface.NewCallback(
         parse_integer(fields[0]),
         parse_integer(fields[1]),
@@ -84,6 +91,10 @@
 
 
 def parse_outcome(fields: list[str], positions) -> interface.Outcome:
+    """Parses the values of a 'reply' event; `positions` as in `advertised_limit`.
+
+    A Retry-After counts for refusals only. Raises ConfigError if a value is invalid.
+    """
     result = parse_choice(fields[3], RESULTS)
     retry_after_ms = parse_optional(fields[1], parse_integer, 0)
     rate, share_left = advertised_limit(fields, 7, positions)
@@ -100,21 +111,22 @@
     )
 
 
-# event name -> fewest values after the instance, how they are read
+# event name -> least number of values after the instance, and their parser
 EVENT_PARSERS = {
     "new_request": (7, parse_new_callback),
     "timer": (1, lambda fields: interface.TimerExpired(fields[0])),
     "dropped": (1, lambda fields: interface.CallbackWithdrawn(parse_integer(fields[0]))),
 }
+# events of peers, streams and probes: the decision module uses none of them
 IGNORED_EVENTS = {
     "whisper",
     "ack_first",
     "probe_result",
-}  # peers, streams, probes: the module uses none
+}
 
 
 def parse_pairs(pairs: list[str]) -> dict[str, str]:
-    """The pairs of the launch message by path."""
+    """Parses the path=value pairs of a 'launch' event; WireError if one is malformed."""
     values_by_path = {}
     for text in pairs:
         path, separator, value = text.partition("=")
@@ -125,6 +137,7 @@
 
 
 def format_action(instance: int, action) -> str:
+    """Formats an action of an instance as a line; TypeError for an unknown type."""
     if type(action) is interface.StartAttempt:
         return f"deliver {instance} {action.callback} {action.host} {format_milliseconds(action.timeout)}\n"
     if type(action) is interface.SetTimer:
@@ -139,4 +152,4 @@
         return f"listen {instance} 1\n"
     if type(action) is interface.ReportHealth:
         return f"note_down {instance} {' '.join(action.text.split())}\n"
-    raise TypeError(f"no line for {action!r}")
+    raise TypeError(f"no message for action {action!r}")
