--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -68,7 +68,7 @@
                 cold_capacity_share=None,
                 slow_start_time=None,
             )
-        self.world = DecisionHarness(settings(**given), HOSTS, seed)
+        self.harness = DecisionHarness(settings(**given), HOSTS, seed)
 
     @rule(
         class_index=st.integers(0, 3),
@@ -77,31 +77,31 @@
         tenant=st.integers(0, 1),
         count=st.integers(1, 6),
     )
-    def take(self, class_index, destination, key, tenant, count):
+    def submit(self, class_index, destination, key, tenant, count):
         for _ in range(count):
-            self.world.submit(class_index, destination, key, tenant)
+            self.harness.submit(class_index, destination, key, tenant)
 
-    @rule(class_index=st.integers(0, 3), abandon=st.integers(-5, 400))
-    def take_late(self, class_index, abandon):
-        number = self.world.submit(class_index, key="a", abandon=abandon * MS)
-        assert abandon > 0 or number in self.world.completed
+    @rule(class_index=st.integers(0, 3), time_limit=st.integers(-5, 400))
+    def submit_late(self, class_index, time_limit):
+        number = self.harness.submit(class_index, key="a", abandon=time_limit * MS)
+        assert time_limit > 0 or number in self.harness.completed
 
-    @precondition(lambda self: self.world.in_flight)
+    @precondition(lambda self: self.harness.in_flight)
     @rule(
         index=st.integers(0, 50),
         result=st.sampled_from(ANSWERS),
-        wait=st.sampled_from([0, 300, 4000]),
+        retry_after=st.sampled_from([0, 300, 4000]),
         answer_all=st.booleans(),
     )
-    def answer(self, index, result, wait, answer_all):
-        out = sorted(self.world.in_flight)
-        for number in out if answer_all else [out[index % len(out)]]:
-            if number in self.world.in_flight:
-                self.world.answer(number, result, wait * MS)
+    def answer(self, index, result, retry_after, answer_all):
+        in_flight = sorted(self.harness.in_flight)
+        for number in in_flight if answer_all else [in_flight[index % len(in_flight)]]:
+            if number in self.harness.in_flight:
+                self.harness.answer(number, result, retry_after * MS)
 
     @rule(span=st.sampled_from([1, 20, 150, 700, 3000]))
     def wait(self, span):
-        self.world.advance(span * MS)
+        self.harness.advance(span * MS)
 
     @rule(
         host=st.sampled_from(HOSTS),
@@ -115,7 +115,7 @@
                 interface.HostEntry(*h, interface.Condition.UP, 2.0) for h in HOSTS if h != host
             ]
         scope = interface.ListScope.WHOLE if whole else interface.ListScope.UPDATE
-        self.world.step([self.world.list_news(scope, entries)])
+        self.harness.step([self.harness.list_news(scope, entries)])
 
     @rule(number=st.integers(1, 40))
     def send_stray_events(self, number):
@@ -124,30 +124,30 @@
             interface.HostListUpdate(interface.ListScope.FAILED, []),
             interface.TimerExpired("wake"),
         ]
-        if number in self.world.completed and number not in self.world.in_flight:
+        if number in self.harness.completed and number not in self.harness.in_flight:
             events += [
                 interface.Outcome(number, 0, 1, Result.TIMEOUT, 5, 0, True),
                 interface.CallbackWithdrawn(number),
             ]
-        self.world.step(events)
+        self.harness.step(events)
 
-    @precondition(lambda self: self.world.open_callbacks)
+    @precondition(lambda self: self.harness.open_callbacks)
     @rule()
     def withdraw(self):
-        number = min(self.world.open_callbacks)
-        self.world.completed[number] = self.world.open_callbacks.pop(number)
-        self.world.step([interface.CallbackWithdrawn(number)])
+        number = min(self.harness.open_callbacks)
+        self.harness.completed[number] = self.harness.open_callbacks.pop(number)
+        self.harness.step([interface.CallbackWithdrawn(number)])
 
     @rule()
     def restart(self):
-        self.world.start([interface.HostEntry(*h, interface.Condition.UP, 2.0) for h in HOSTS])
+        self.harness.start([interface.HostEntry(*h, interface.Condition.UP, 2.0) for h in HOSTS])
 
     def teardown(self):
-        if hasattr(self, "world"):
-            self.world.advance(30_000 * MS)
-            module = self.world.dispatcher
+        if hasattr(self, "harness"):
+            self.harness.advance(30_000 * MS)
+            module = self.harness.dispatcher
             assert (
-                not self.world.open_callbacks
+                not self.harness.open_callbacks
                 and not module.state.callbacks_by_id
                 and not module.lifecycle.callbacks_by_key
             )
