--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Plain cases: what each rule and each defence is there for, on the module alone."""
+"""Tests of the decision module alone: one case for each rule and each protection."""
 
 import json
 from pathlib import Path
@@ -23,7 +23,10 @@
 
 
 def run_load(harness, interval, span, result=Result.DELIVERED, latency=50, **callback):
-    """A callback each `interval` ms for `span` ms; launches are answered after `latency` ms. Gives the launches."""
+    """Submits a callback each `interval` ms for `span` ms; returns the attempts that this causes.
+
+    Attempts are answered after `latency` ms.
+    """
     before = len(harness.sent)
     for _ in range(span // interval):
         harness.submit(**callback)
@@ -44,7 +47,7 @@
     assert len(harness.in_flight) == 2
     for _ in range(6):
         harness.answer(min(harness.in_flight))
-    # one more for each good answer until the first slowdown
+    # one more for each successful answer until the first slow one
     assert len(harness.in_flight) == 8
     harness.answer(min(harness.in_flight), Result.REFUSED, 500 * MS)
     sent = len(harness.sent)
@@ -96,9 +99,8 @@
     number = harness.submit()
     harness.answer(number, result)
     harness.advance(100 * MS)
-    while (
-        retry_allowed and not harness.in_flight and number in harness.open_callbacks
-    ):  # a refusal asks for a rest
+    # a refusal causes a backoff
+    while retry_allowed and not harness.in_flight and number in harness.open_callbacks:
         harness.advance(100 * MS)
     assert (number in harness.in_flight) == retry_allowed and (
         number in harness.open_callbacks
@@ -164,8 +166,9 @@
     for start in attempt_times:
         cold = min(1.0, 0.2 + 0.8 * max(0, start + 1500 * MS - returned_at) / (10 * SECOND))
         in_span = sum(1 for when in attempt_times if start <= when < start + 1500 * MS)
-        assert cold == 1.0 or in_span <= 2.0 * cold * 17 * 1.5 + 1  # it can do more than is asked
-    assert len(attempt_times) > 60  # and it is fed again
+        # its capacity exceeds the demand
+        assert cold == 1.0 or in_span <= 2.0 * cold * 17 * 1.5 + 1
+    assert len(attempt_times) > 60  # it gets its full load again
 
 
 def drain_host(harness, host):
@@ -181,7 +184,11 @@
 
 @pytest.mark.parametrize("both_return", [True, False])
 def test_host_returning_alone_gets_only_its_share(both_return):
-    """Danger: taken to bear all that its destination is asked for, one whose sibling drains is given twice what it can do."""
+    """Guards against overloading the only host that returns.
+
+    Expected to take the whole demand of its destination while the other host drains, it would get
+    twice its capacity.
+    """
     harness = DecisionHarness(
         settings(max_calls=40, callback_classes=[callback_class(abandon=20000)])
     )
@@ -192,7 +199,7 @@
     returned_at, capacity = (
         harness.now,
         1.7 * 20 / 2,
-    )  # of each host: what is asked of both, with room
+    )  # of each host: half the demand, with a margin
     attempt_times = [when for when, host in run_load(harness, 50, 8000) if host == 1]
     assert len(attempt_times) > 20
     for start in attempt_times:
@@ -210,11 +217,14 @@
         (2, 2500, Result.TIMEOUT, True),
         (2, 300, Result.TIMEOUT, False),
         (1, 900, Result.TIMEOUT, False),
-        (2, 900, Result.NO_CONNECT, False),  # scarce connections are no outage
+        (2, 900, Result.NO_CONNECT, False),  # a lack of connections is not an outage
     ],
 )
 def test_few_failures_over_long_span_are_an_outage(failures, pause, result, is_outage):
-    """Danger: a relay with few slots sees two calls fail in five seconds, and feeds the host by the window alone as it returns."""
+    """Guards against limiting a returning host by the window alone.
+
+    A relay with a low max_calls sees only two calls fail in five seconds, too few to eject a host.
+    """
     harness = DecisionHarness(
         settings(max_calls=2, callback_classes=[callback_class(abandon=60000)]),
         hosts=((1, 0, 0, 1),),
@@ -251,7 +261,7 @@
     harness.advance(20 * MS)
     assert not harness.in_flight
     before = len(harness.sent)
-    harness.advance(20 * SECOND)  # longer than the longest rest
+    harness.advance(20 * SECOND)  # longer than the longest backoff
     assert len(harness.sent) > before
 
 
@@ -287,7 +297,7 @@
         hosts=((1, 0, 0, 1),),
     )
     served_at, refused, served = [], 0, 0
-    # thirty seconds at a destination that takes five a second
+    # thirty seconds at a destination that serves five calls a second
     for _ in range(1500):
         harness.submit()
         harness.advance(20 * MS)
@@ -306,7 +316,10 @@
 
 
 class SharedLimit:
-    """A told limit that many relays share: refused calls use it up too, and what is left is told late."""
+    """An advertised limit that many relays share.
+
+    Refused calls use it up too, and its remaining share is advertised with a delay.
+    """
 
     def __init__(self, rate, depth, update_interval):
         self.rate, self.depth, self.update_interval = rate, depth, update_interval
@@ -353,7 +366,7 @@
     for step in range(1200):  # half a minute in steps of 25 ms
         for harness in harnesses:
             if step % 40 == 0 and random.random() < 0.1:
-                for _ in range(4):  # some come in clumps
+                for _ in range(4):  # some arrive in bursts
                     harness.submit()
             if random.random() < (demand - 0.4) * rate / relays / 40:
                 harness.submit()
@@ -382,7 +395,7 @@
             ),
             hosts=((1, 0, 0, 1),),
         )
-        # half of it is left: an even part, a call a second
+        # with half of the limit left the rate is an even share, one call a second
         harness.answer(harness.submit(), told=(40.0, left))
         before, since = len(harness.sent), harness.now
         for _ in range(waiting):
@@ -403,7 +416,7 @@
     number = harness.submit()
     harness.advance(50 * MS)
     draining_host = harness.in_flight[number][0]
-    harness.answer(number, Result.REFUSED)  # before the list tells
+    harness.answer(number, Result.REFUSED)  # before the list says so
     harness.advance(100 * MS)
     assert (
         harness.in_flight[number][0] != draining_host
@@ -457,7 +470,7 @@
     run_load(harness, 100, 1000)
     first_endpoint(harness.dispatcher).limiter.advertised_rate = advertised_rate
     harness.submit()
-    harness.answer(next(iter(harness.in_flight)), Result.REFUSED)  # as of a host that drains
+    harness.answer(next(iter(harness.in_flight)), Result.REFUSED)  # as from a draining host
     assert bool(first_endpoint(harness.dispatcher).limiter.learned_rate) == learns_rate
 
 
@@ -586,7 +599,7 @@
     harness.answer(harness.submit())
     assert not harness.closed_idle
     harness.answer(harness.submit(destination=2), Result.NO_CONNECT)
-    # one host that goes is no shortage: a busy relay keeps its connections
+    # one host that leaves is no lack of connections: a busy relay keeps its own
     for _ in range(40):
         harness.answer(harness.submit())
     assert harness.closed_idle[-1] == 1 and len(harness.closed_idle) < 35
@@ -618,7 +631,7 @@
     [(Result.REFUSED, 0), (Result.REFUSED, 700), (Result.TIMEOUT, 0), (Result.NO_CONNECT, 0)],
 )
 def test_relays_with_one_callback_each_return_apart(result, retry_after):
-    attempt_times = []  # thirty relays, the same trouble at the same moment
+    attempt_times = []  # of thirty relays with the same failure at the same time
     for seed in range(30):
         harness = DecisionHarness(
             settings(relay_count=30, callback_classes=[callback_class(abandon=20000)]),
@@ -631,7 +644,7 @@
                 harness.answer(number, result, retry_after * MS)
             harness.advance(50 * MS)
         attempt_times += [when - start for when, _ in harness.sent]
-    for at in (4, 6, 8, 10, 12):  # seconds; all thirty came every two seconds
+    for at in (4, 6, 8, 10, 12):  # seconds; the fault: all thirty called every two seconds
         assert sum(at * SECOND <= when < (at + 2) * SECOND for when in attempt_times) <= 20
 
 
@@ -644,7 +657,7 @@
             number = harness.submit(destination=destination)
             kept = destination not in harness.closed_idle[-1:]
             used_before = [host for when, host in harness.sent[:-1] if host == destination]
-            # every connection idle for over two seconds is gone
+            # every connection idle for over two seconds has been dropped
             dropped = bool(used_before) and kept
             lost += dropped
             harness.answer(number, Result.RESET if dropped else Result.DELIVERED)
@@ -669,7 +682,7 @@
     )
     for _ in range(2):
         harness.submit()
-    harness.advance(2100 * MS)  # the goal time, and the time to half the payoff
+    harness.advance(2100 * MS)  # the target latency, and the time until the value has halved
     fresh = harness.submit()
     harness.step(
         [
@@ -715,7 +728,7 @@
 
 
 def test_at_most_once_call_times_out_after_target_latency():
-    """Danger: held to the end, those out at hosts that hang take all slots from the others."""
+    """Guards against calls to hosts that hang: held to their deadlines, they use up max_calls."""
     harness = DecisionHarness(
         settings(callback_classes=[callback_class("exclusive", goal=2000, abandon=20_000)]),
         hosts=((1, 0, 0, 1),),
@@ -729,7 +742,11 @@
 
 
 def test_retries_slow_down_while_refusals_exhaust_limit():
-    """Danger: where an even part is a call in a quarter of a minute, tries each few seconds leave nothing for anyone."""
+    """Guards against retries that use up an advertised limit.
+
+    Where an even share is one call in a quarter of a minute, retries every few seconds by all
+    relays leave nothing for any of them.
+    """
     harness = DecisionHarness(
         settings(
             limits_are_advertised=True,
@@ -751,7 +768,10 @@
 
 
 def test_callback_judged_late_once_still_ends_at_deadline():
-    """Danger: looked at once as it came, and never again while it waits for its turn, it was ended by the core's guard alone."""
+    """Guards against a callback that only the core's own deadline check completed.
+
+    It was checked once on arrival, and never again while it waited for its key.
+    """
     harness = DecisionHarness(
         settings(max_calls=100, callback_classes=[callback_class(ordered=True)]),
         hosts=((1, 0, 0, 1),),
@@ -765,7 +785,7 @@
     harness.open_callbacks[late] = dict(
         row=harness.settings.callback_classes[0], key="a", deadline=deadline, attempts=[]
     )
-    # in one batch: too late by the latency known so far, then an answer that comes sooner
+    # in one batch: too late by the latency known so far, then an answer with a lower latency
     harness.step(
         [
             interface.NewCallback(late, 0, 0, "a", deadline, 1),
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Seeded random runs: whatever comes, the ledger finds the six rules kept after every step."""
+"""Seeded random runs: whatever events arrive, the harness finds the six rules kept at each step."""
 
 from hypothesis import settings as profile
 from hypothesis import strategies as st
@@ -119,7 +119,11 @@
 
     @rule(number=st.integers(1, 40))
     def send_stray_events(self, number):
-        """Outcomes and withdrawals for what is over, a list call that failed, a timer nobody set."""
+        """Sends events that nothing waits for.
+
+        These are outcomes and withdrawals of completed callbacks, a failed list request, and a
+        timer that was not set.
+        """
         events = [
             interface.HostListUpdate(interface.ListScope.FAILED, []),
             interface.TimerExpired("wake"),
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,7 @@
-"""The deployments in deploy/sites, read with the relay's own reader of settings: each row means what its file says."""
+"""Tests that the relay's configuration reader understands the deployments in deploy/sites.
+
+The resulting settings have to say what each site file says.
+"""
 
 import tomllib
 from pathlib import Path
@@ -13,7 +16,7 @@
 
 
 def settings_of(site):
-    """As an instance of that deployment is told them, where the file leaves a range: its lower end."""
+    """Returns the settings that an instance of this site receives; of a range, its lower end."""
     tier, fam, allow = site["tier"][0], site["fam"], site["allow"]
     return {
         "grades": [
@@ -101,7 +104,7 @@
         assert row.deduplicated_everywhere is (
             row.semantics is interface.DeliverySemantics.DEDUPLICATED
         )
-    assert len(set(row.semantics for row in rows)) == 3, "each effect is there"
+    assert len(set(row.semantics for row in rows)) == 3, "all semantics occur"
     assert [kind.callbacks_per_call for kind in made.settings.kinds] == [
         kind.get("batch", 1) for kind in site["fam"]["kind"]
     ]
