--- a/molehill/decisions/slow_start.py
+++ b/molehill/decisions/slow_start.py
@@ -4,8 +4,8 @@
 from molehill.decisions.limiter import SECOND
 from molehill.interface import Settings
 
-# Relays that saw no failure call a returning host too: those that did may send two thirds of what
-# it can take.
+# Relays that saw no failure call a returning host too: those that did may send two thirds of the
+# calls.
 CAPACITY_OVER_DEMAND = 1.7
 REFUSAL_BACKOFF = SECOND * 3 // 10  # without a Retry-After; 1 s leaves much of a low limit unused
 # factor with each consecutive bad round; doubling still overloaded returning destinations
