--- a/molehill/core/reducer.py
+++ b/molehill/core/reducer.py
@@ -1,9 +1,11 @@
-"""All state of a relay but its decisions, and the one place where it changes: an event in, effects out.
-
-No input, output or clock here. Effects are to be carried out in order. The module in molehill/decisions/ is driven
-by `Step` events with all that came in since the last one; what it asks for comes out as effects, held back only
-where a call may not go yet: its client has not heard that the callback is taken on, or an earlier callback of its
-key ended by a notice that the platform has not answered.
+"""Holds all state of a relay except its decisions, and is the one place where that state changes.
+
+`Core.reduce` takes an event and returns effects, which the caller carries out in order. The reducer
+does no input or output and reads no clock. `Step` events drive the decision module of
+molehill/decisions/ with everything that came in since the last one. The calls that it asks for
+become effects, and are held back only while a call may not start yet: the client has not been told
+that the callback is accepted, or an earlier callback of the same key ended with a final notice that
+the platform has not answered.
 """
 
 from collections import Counter
@@ -35,17 +37,20 @@
 from molehill.interface import Result
 from molehill.invariants import check_invariant
 
-STATUS_ACCEPTED, STATUS_UNAVAILABLE, STATUS_FAILED = 202, 503, 500  # answers to clients
-
+# HTTP statuses of answers to clients
+STATUS_ACCEPTED, STATUS_UNAVAILABLE, STATUS_FAILED = 202, 503, 500
 
-# ids lately over, by which a request sent again is known: minutes of traffic
+# completed ids that are kept to recognize a request sent again: minutes of traffic
 COMPLETED_IDS_KEPT = 4096
-# ids lately refused or failed before they were taken on: longer than a copy is on its way
+# ids refused or failed before they were accepted: kept for longer than a copy is on its way
 REFUSED_IDS_KEPT = 1024
 
 
 class Core:
-    """One relay's callbacks, calls and hosts. `reduce` is the one way in but for the log's records at a start."""
+    """The callbacks, calls and hosts of one relay.
+
+    `reduce` is the only entry point, except for the log's records, which are loaded at a start.
+    """
 
     def __init__(
         self,
@@ -56,17 +61,23 @@
         names=None,
         connect_timeout=DEFAULT_CONNECT_TIMEOUT,
     ):
-        """`names`: those of the settings' categories, by which figures and the log know them; else their numbers.
-        `connect_timeout`: as of core/final_notices.py."""
+        """Starts with empty state, until the log's records are loaded.
+
+        `make_module(settings, seed)` returns the decision module. `log_capacity`: bytes of the log
+        that callbacks and the host list may take up. `names`: the settings' class names, which the
+        metrics and the log use; their numbers by default. `connect_timeout`: nanoseconds, see
+        core/final_notices.py.
+        """
         self.final_notices = FinalNotices(connect_timeout)
         self.seed, self.make_module, self.log_capacity = seed, make_module, log_capacity
         names = [str(n) for n in range(len(settings.callback_classes))] if names is None else names
         self.classes, self.metrics = ClassTable(names, settings.callback_classes), Metrics(names)
-        # one list: the module reads the same rows
+        # shares one list of classes with the decision module
         self.settings = replace(settings, callback_classes=self.classes.definitions)
-        self.received_list = ReceivedList()  # the list of hosts as the log has it
-        self.is_restart = False  # the log is an earlier process's, which handed nothing over
-        self.is_handover = False  # an earlier process handed over
+        self.received_list = ReceivedList()  # the list of hosts as it is in the log
+        # the log was written by an earlier process, which handed nothing over
+        self.is_restart = False
+        self.is_handover = False  # an earlier process handed its state over
         self.recovery = recovery.Recovery(self)
         self.module, self.inbox, self.now, self.effects = (
             make_module(self.settings, seed),
@@ -74,28 +85,28 @@
             0,
             [],
         )
-        self.callbacks: dict[str, Callback] = {}  # in the order in which they were handed in
-        self.log_bytes_used, self.open_count = 0, 0  # log bytes taken up; callbacks the module has
-        self.recently_completed = RecentIds(COMPLETED_IDS_KEPT)  # id lately over -> its contents
-        self.recently_refused = RecentIds(
-            REFUSED_IDS_KEPT
-        )  # id -> its contents and the answer that it got
+        self.callbacks: dict[str, Callback] = {}  # in order of submission
+        # log bytes in use; callbacks that the module has not ended
+        self.log_bytes_used, self.open_count = 0, 0
+        self.recently_completed = RecentIds(COMPLETED_IDS_KEPT)  # id -> digest of its contents
+        # id -> digest of its contents, and the status that it was answered with
+        self.recently_refused = RecentIds(REFUSED_IDS_KEPT)
         self.calls, self.queued_calls, self.last_call_number = {}, {}, 0
         self.keys_awaiting_notice: dict[str, int] = {}
-        # those that go in turn and are not over, in the order of hand-in
+        # pending callbacks of ordered classes, by key, in order of submission
         self.callbacks_by_key: dict[str, dict[str, Callback]] = {}
-        # why callbacks were not sent, since the last line of counts
+        # why callbacks were not sent, since the last log line of counts
         self.refusal_counts: Counter[Refusal] = Counter()
         self.cooldowns: dict[str, int] = {}
-        # while the log is read: keys with a launch whose end it does not tell
+        # while the log is read: keys with an attempt whose outcome is not in the log
         self.unsettled_keys: dict[str, bool] = {}
         self.hosts = HostTable(self.metrics)
         self.overdue_checks, self.wake_at, self.stop_at = [], None, None
-        # no call is begun; calls that an earlier process wrote, by number
+        # whether no call may be started; calls that an earlier process wrote, by number
         self.calls_paused, self.inherited_calls = False, {}
-        # the log takes no records: no call is begun either
+        # the log takes no records: no call is started either
         self.log_failing = False
-        # after a restart no call is begun before discovery has answered or failed, or till then
+        # after a restart no call is started before discovery has answered or failed, or this time
         self.list_deadline: Optional[int] = None
         self.handlers = {
             ev.Startup: self._on_start,
@@ -118,17 +129,22 @@
         }
 
     def reduce(self, now, event):
+        """Applies one event at time `now` (nanoseconds) and returns its effects, in order."""
         self.now, self.effects = max(now, self.now), []
         try:
             self.handlers[type(event)](event)
-        # a fault here or in the module: made anew as after a restart, nothing is lost
+        # A fault here or in the module: the module is rebuilt as after a restart, so that
+        # nothing is lost.
         except Exception as error:
             check_invariant(False, "reduce", what=type(event).__name__, error=repr(error))
             self._restart_module()
         return self.effects
 
     def next_step_at(self):
-        """When the module is to be stepped though nothing comes in; None: not before something does."""
+        """Returns when the module must be stepped even if no event arrives.
+
+        None means that it needs no step until an event arrives.
+        """
         times = [
             time
             for time in (
@@ -147,30 +163,31 @@
         self.effects.append(ev.Append({"k": kind, **fields}, body))
 
     def load(self, record, body):
-        """One record of the log, as it is read again at a start; later ones override."""
+        """Applies one record of the log at a start; later records override earlier ones."""
         self.recovery.load(record, body)
         self.is_restart = self.is_restart or record["k"] == "list"
 
     def load_corrupt(self, data):
-        """Bytes of the log that can't be read."""
+        """Handles bytes of the log that can't be read."""
         self.recovery.load_corrupt(data)
 
     def snapshot(self):
-        """The records that say all that is owed now; a log of just these replaces a longer one."""
+        """Yields the records of everything pending; a log of just these replaces a longer one."""
         return recovery.snapshot(self)
 
     def set_health(self, host, ejected, at):
-        """It was closed, or answers again since `at`."""
+        """Records that a host was ejected, or has answered again since `at`."""
         slow_start_end = None if ejected else at + (self.settings.slow_start_time or 0)
         self.hosts.set_health(host, slow_start_end)
 
     def find_callbacks(self, ids):
+        """Returns the callbacks with these ids; unknown ids are skipped."""
         return [self.callbacks[callback_id] for callback_id in ids if callback_id in self.callbacks]
 
     # Callbacks
 
     def set_state(self, callback, state):
-        """Every change of a callback's state."""
+        """Changes a callback's state; every such change is made here."""
         before = callback.state
         check_invariant(
             state in NEXT_STATES[before],
@@ -214,7 +231,7 @@
             if before in (ACKNOWLEDGED, NOTICE_PENDING):
                 self.recently_completed.add(callback.id, callback.digest)
 
-    # half of what the rules leave between the abandon time and a lost callback
+    # half of what the rules allow between a callback's deadline and its loss
     OVERDUE_CHECK_DELAY = 150 * MS
 
     def _on_submitted(self, event):
@@ -223,8 +240,9 @@
         known_digest = (
             existing.digest if existing is not None else self.recently_completed.get(submission.id)
         )
-        # Danger: a stranger uses an id that is not its own, before or after the true request. Told "taken on" for what it
-        # did not hand in, a client goes on with its key's next. Refused, either may come again under a new id.
+        # Another client may use an id that is not its own, before or after the real request. A
+        # client that is told "accepted" for contents that it did not submit goes on with the next
+        # callback of its key. After a refusal, either client may submit again under a new id.
         if known_digest is not None and known_digest != digest:
             self._count_end(submission, THROTTLED)
             self.effects.append(
@@ -234,7 +252,8 @@
             self._answer_copy(existing, event.client)
         elif submission.id in self.recently_completed:
             self.effects.append(ev.Answer(event.client, submission.id, STATUS_ACCEPTED))
-        # Danger: a copy of what had its final answer is taken on, and sent on behind that.
+        # Otherwise a copy of a request that already had its final answer would be accepted, and
+        # sent to a host after that answer.
         elif (refused := self.recently_refused.get(submission.id)) is not None and refused[
             0
         ] == digest:
@@ -244,7 +263,7 @@
             self._accept_new(Callback(submission, digest), event.client)
 
     def _answer_copy(self, existing, client):
-        """It was sent again on a new connection: both get the answer."""
+        """Answers a request that was sent again on a new connection; both connections get it."""
         if existing.state in (RECEIVED, LOGGED):
             existing.clients.append(client)
         if existing.state is not RECEIVED:
@@ -269,22 +288,22 @@
         self._offer_to_module(callback)
 
     def _answer_clients(self, callback, status, retry_after=0):
-        """To every connection on which it was handed in."""
+        """Answers on every connection on which the callback was submitted."""
         self.effects += [
             ev.Answer(client, callback.id, status, retry_after) for client in callback.clients
         ]
 
     def _count_end(self, callback, outcome):
-        """Each callback's end is counted here, once, whatever comes of it later."""
+        """Counts the end of a callback, once for each callback, whatever happens to it later."""
         self.metrics.end_counts[self.classes.names[callback.callback_class]][outcome] += 1
 
     def count_rejected(self, name):
-        """A request of that class was refused before it came here."""
+        """Counts a request of that class that was refused before it reached the reducer."""
         if name in self.classes.numbers:
             self.metrics.end_counts[name][THROTTLED] += 1
 
     def _offer_to_module(self, callback):
-        """Tells the module of a callback, with all that an earlier process or module did with it."""
+        """Passes a callback to the module, with its history under earlier processes or modules."""
         cooldown_until = self.cooldowns.get(callback.key, 0) if callback.key is not None else 0
         self.inbox.append(
             interface.NewCallback(
@@ -307,7 +326,10 @@
         )
 
     def _on_answer_written(self, event):
-        """Danger: an answer to another's copy, written late, must not count as the word of this one's client."""
+        """Marks the callback as acknowledged once its own client has been answered.
+
+        An answer to another client's copy, written late, must not count as the acknowledgement.
+        """
         callback = self.callbacks.get(event.id)
         if callback is not None and callback.state is LOGGED and event.client in callback.clients:
             callback.clients.clear()
@@ -327,7 +349,7 @@
             self._withdraw(callback)
 
     def _withdraw(self, callback, logged=True):
-        """Nobody was told that it is taken on: it is the client's again."""
+        """Drops a callback that no client was told is accepted; the client may submit it again."""
         self.inbox.append(interface.CallbackWithdrawn(callback.id))
         if logged:
             self._log("over", ids=[callback.id])
@@ -338,9 +360,10 @@
         self._start_ready_calls()
 
     def _on_append_failed(self, event):
-        """What could not be written: callbacks not taken on after all, launches that do not go.
+        """Refuses the callbacks and cancels the attempts whose records could not be written.
 
-        Danger: with launches refused as fast as they are asked for, each opens a connection at its host for nothing.
+        No call starts until the log takes records again: otherwise attempts would be refused as
+        fast as the module asks for them, and each would open a connection to its host for nothing.
         """
         self.log_failing = True
         for record in event.records:
@@ -369,7 +392,11 @@
                     )
 
     def _on_end_not_logged(self, event):
-        """Danger: told as turned away and forgotten by a kill, it is told as failed by the next process, as its time is up."""
+        """Sends the notice of a callback whose end the log has not taken by its deadline.
+
+        A rejection becomes a failure: if a kill lost an unlogged rejection that was already sent,
+        the next process would report the callback as failed, since its deadline has passed.
+        """
         callback = self.callbacks.get(event.id)
         if callback is None or callback.state is not NOTICE_PENDING:
             return
@@ -388,7 +415,7 @@
     # Calls
 
     def _end_callback(self, callback, rejected, retry_after):
-        """A final answer that is not a delivery."""
+        """Ends a callback without a delivery, by a rejection or a failure."""
         self._count_end(callback, THROTTLED if rejected else FAULTED)
         if callback.state is RECEIVED:
             status = STATUS_UNAVAILABLE if rejected else STATUS_FAILED
@@ -436,7 +463,7 @@
         self._check_overdue()
 
     def _accept(self, callback_id):
-        """The module keeps it: the client is told once that is logged."""
+        """Accepts a callback that the module keeps; the client is told once that is logged."""
         callback = self.callbacks.get(callback_id)
         if callback is not None and callback.state is RECEIVED:
             self._log("taken", callback.body, **recovery.submitted_fields(callback))
@@ -444,7 +471,7 @@
             self._answer_clients(callback, STATUS_ACCEPTED)
 
     def _run_action(self, action):
-        """One action of the module that is no launch."""
+        """Carries out one action of the module other than an attempt."""
         kind = type(action)
         if kind is interface.SetTimer:
             self.wake_at = self.now + action.delay
@@ -462,15 +489,19 @@
             self._end_callback(self.callbacks[action.callback], rejected, retry_after)
 
     def _queue_calls(self, attempts):
-        """Launches become calls, as many callbacks in each as its host takes."""
+        """Groups attempts into queued calls, each with as many callbacks as its host takes."""
         timeouts_by_host = {}
-        for launch in attempts:
-            timeouts_by_host.setdefault(launch.host, []).append((launch.callback, launch.timeout))
+        for attempt in attempts:
+            timeouts_by_host.setdefault(attempt.host, []).append(
+                (attempt.callback, attempt.timeout)
+            )
         for host, timeouts in timeouts_by_host.items():
             size = self._kind_of(self.hosts[host]).callbacks_per_call
-            for at in range(0, len(timeouts), size):
+            for start in range(0, len(timeouts), size):
                 self.last_call_number += 1
-                call = PendingCall(self.last_call_number, host, timeouts[at : at + size], self.now)
+                call = PendingCall(
+                    self.last_call_number, host, timeouts[start : start + size], self.now
+                )
                 self.queued_calls[self.last_call_number] = call
 
     def _kind_of(self, host):
@@ -481,7 +512,7 @@
         )
 
     def _expire_queued_calls(self, events):
-        """Parked calls whose time is up."""
+        """Gives queued calls whose time is up back to the module."""
         for call in list(self.queued_calls.values()):
             if self._queued_until(call) <= self.now:
                 for callback in self.find_callbacks(call.ids):
@@ -493,17 +524,17 @@
         self.inbox = []
 
     def _check_overdue(self):
-        """Callbacks past their time that the module, having had its turn, has not ended."""
+        """Ends callbacks past their deadline that the module has not ended in its own step."""
         while self.overdue_checks and self.overdue_checks[0][0] <= self.now:
-            _, callback_id, again = heappop(self.overdue_checks)
+            _, callback_id, is_second_check = heappop(self.overdue_checks)
             callback = self.callbacks.get(callback_id)
             if callback is None or callback.state not in (LOGGED, ACKNOWLEDGED):
                 continue
-            # danger: the guard of one withdrawn earlier under the same id
+            # this check belongs to a callback withdrawn earlier under the same id
             if callback.deadline + self.OVERDUE_CHECK_DELAY > self.now:
                 continue
-            # after a standstill its outcome may be on its way
-            if callback.call is not None and not again:
+            # after the process stood still, the outcome of its call may be on its way
+            if callback.call is not None and not is_second_check:
                 heappush(
                     self.overdue_checks,
                     (self.now + self.OVERDUE_CHECK_DELAY // 2, callback_id, True),
@@ -513,7 +544,8 @@
             self._end_callback(callback, False, 0)
             self.inbox.append(interface.CallbackWithdrawn(callback_id))
 
-    QUEUE_TIMEOUT = 1000 * MS  # while notices go unanswered: then others may have the slot
+    # A call waits this long for a notice to be answered; then others may use its slot.
+    QUEUE_TIMEOUT = 1000 * MS
 
     def _queued_until(self, call):
         return min(
@@ -527,7 +559,7 @@
         return callback.state is LOGGED or callback.key in self.keys_awaiting_notice
 
     def _start_ready_calls(self):
-        """Sends off the parked calls that may go now."""
+        """Starts the queued calls that may start now."""
         if self.calls_paused or self.log_failing or self.list_deadline is not None:
             return
         for call in list(self.queued_calls.values()):
@@ -574,8 +606,11 @@
         )
 
     def _on_call_connected(self, event):
-        """Danger: logged as out while its connection still comes up, a callback that no host has seen is taken for one that may
-        have run after a kill, and one that must not run twice is given up untried."""
+        """Logs the attempts of a call once its connection is up.
+
+        If they were logged earlier, a callback that no host has seen would count after a kill as
+        one that may have run, and one that must not run twice would be given up untried.
+        """
         call = self.calls.get(event.call)
         if call is not None and not call.is_logged:
             for callback in self.find_callbacks(call.ids):
@@ -599,7 +634,7 @@
         return host.id if self._kind_of(host).separate_routes else host.destination
 
     def _may_start(self, callback, host) -> bool:
-        """Whether a call of it may be begun there now."""
+        """Whether a call with this callback may be started at that host now; reports a refusal."""
         first = (
             next(iter(self.callbacks_by_key.get(callback.key, {}).values()), callback) is callback
         )
@@ -623,7 +658,11 @@
         self.effects.append(effect)
 
     def _not_sent_reason(self, outcome) -> Refusal:
-        """Why it was not sent; a host that says "over" may mean an end by this relay, or one that it was never told of."""
+        """Returns why a callback was not sent.
+
+        A host's answer "over" (410) may mean an end by this relay, or one that this relay does not
+        know of.
+        """
         callback = self.callbacks.get(outcome.id)
         if outcome.reason is Refusal.HOST_SAYS_OVER and (
             callback is None or callback.state is not ACKNOWLEDGED
@@ -639,10 +678,10 @@
         )
 
     def refusal(self, call_number, now) -> Optional[Refusal]:
-        """Why that call may not be written any more, or None. Changes nothing.
+        """Returns why that call may not be written any more, or None. Changes nothing.
 
-        Danger: a connection takes its time to come up, as does the append of a launch. Meanwhile callbacks end, hosts drain, and
-        windows run out.
+        It takes time until a connection is up and until an attempt is appended to the log.
+        Meanwhile callbacks end, hosts drain, and deduplication windows run out.
         """
         call = self.calls.get(call_number)
         if call is None:
@@ -660,7 +699,7 @@
         return None
 
     def _unqueue(self, call, ids):
-        """Launches that never left the relay."""
+        """Takes callbacks out of a queued call; their attempts never left the relay."""
         self.inbox += [
             interface.Outcome(callback_id, 0, call.host, Result.NOT_SENT, 0, 0, False, unsent=True)
             for callback_id in ids
@@ -670,7 +709,10 @@
             self.queued_calls.pop(call.number, None)
 
     def settle_attempt(self, callback, result, at, unsent=False):
-        """What a launch's outcome leaves behind for later ones and for other callbacks of the key."""
+        """Records what an attempt's outcome means for later attempts and for its key.
+
+        `at`: when it ended, in nanoseconds. `unsent`: it never left the relay, and isn't counted.
+        """
         attempt, callback.current_attempt, callback.call = callback.current_attempt, None, None
         callback.attempts -= unsent
         if attempt is not None and result.may_have_run and callback.ran_at is None:
@@ -686,7 +728,7 @@
             return
         outcomes = [outcome for outcome in event.outcomes if outcome.id in call.ids]
         check_invariant(len(outcomes) == len(event.outcomes), "one_outcome_each", call=event.call)
-        # it counts as a launch, if one that never ran
+        # it counts as an attempt, though as one that never ran
         if not call.is_logged and any(not outcome.unsent for outcome in outcomes):
             self._log_attempts(call)
         call.ids = [
@@ -701,7 +743,7 @@
             for outcome in outcomes
             if (row := self._end_attempt(call, outcome, event)) is not None
         ]
-        if logged and call.is_logged:  # else the log never had it as out
+        if logged and call.is_logged:  # else the log has no attempt to end
             self._log("end", ends=logged, at=self.now)
         self._start_ready_calls()
         if len(self.cooldowns) > 2 * len(self.callbacks) + 64:
@@ -710,7 +752,10 @@
             }
 
     def _end_attempt(self, call, outcome, event) -> Optional[list]:
-        """One callback of a call that has ended; its row for the log, None if the call is not its own any more."""
+        """Applies the outcome of one callback of a call that has ended.
+
+        Returns its row for the log, or None if this is no longer the callback's current call.
+        """
         if outcome.reason is not None:
             self._report_not_sent(outcome.id, call.host, self._not_sent_reason(outcome))
         if outcome.retry_after:
@@ -734,7 +779,7 @@
         return [outcome.id, outcome.result.value, completed, outcome.unsent]
 
     def _post_outcome(self, call, outcome, event, completed: bool, attempts: int) -> None:
-        """The decision module is to hear of it; `attempts` of the callback, with this one."""
+        """Queues an outcome for the decision module; `attempts` of the callback count this one."""
         self.inbox.append(
             interface.Outcome(
                 outcome.id,
@@ -759,7 +804,7 @@
             self._log("over", ids=ids)
             self._start_ready_calls()
 
-    # The list, the start and the end
+    # Host list, settings, start and stop
 
     def _on_host_list_received(self, event):
         if event.scope is not interface.ListScope.FAILED:
@@ -767,7 +812,7 @@
             changed = self.received_list.update(
                 event.hosts, is_complete, event.version, event.source
             )
-            # before anything of it is acted on; danger: the next process knows only what is written
+            # logged before it is acted on: the next process knows only what is written
             if changed:
                 self._log("list", **self.received_list.as_record(changed))
             stale = self.hosts.apply_list(event.hosts, is_complete)
@@ -796,7 +841,10 @@
         )
 
     def _on_settings_changed(self, event):
-        """New settings. What is held keeps its category, also over a restart; the module hears of it with the next step."""
+        """Applies new settings, which the module gets with its next step.
+
+        Pending callbacks keep their class, also over a restart.
+        """
         self.classes.update(
             event.class_names,
             event.settings.callback_classes,
@@ -807,13 +855,15 @@
         self.effects += [ev.Append(record) for record in self.classes.records()]
         self.inbox.append(interface.NewSettings(self.settings))
 
-    # many times what discovery takes to answer; what waits so long loses little of its time
+    # many times what discovery takes to answer; callbacks lose little of their time by the wait
     LIST_TIMEOUT = 300 * MS
 
     def _on_start(self, _):
-        """After a start: launches that were out when the process ended may have run; all that is owed goes on.
+        """Resumes everything pending after the log has been read.
 
-        Danger: what discovery wrote to the process before, which was killed with it unread, counts as told.
+        Attempts that were in flight when the process ended may have run. After a restart, calls
+        wait for discovery: a list that it sent to the earlier process counts as received by this
+        relay, even if that process was killed before it read the list.
         """
         if self.is_restart:
             self.list_deadline = self.now + self.LIST_TIMEOUT
@@ -835,7 +885,7 @@
                 self.cooldowns.get(key, 0), self.now + self.settings.key_cooldown
             )
         self.unsettled_keys = {}
-        # danger: the next process, after another kill, would not know of the rest that these keys have now
+        # otherwise, after another kill, the next process would not know these keys' cooldowns
         if interrupted:
             self._log(
                 "end",
@@ -844,7 +894,7 @@
             )
         for callback in self.callbacks.values():
             if callback.state is NOTICE_PENDING:
-                # its end is this process's to bring about
+                # this process has to bring about its end, and so counts it
                 self._count_end(callback, THROTTLED if callback.rejected else FAULTED)
                 self._send_notice(callback)
             else:
@@ -856,11 +906,17 @@
         self._start_ready_calls()
 
     def handover_state(self):
-        """What the log does not tell, for `Inherited` in the next process, as plain data."""
+        """Returns, as plain data for the next process, what the log does not hold.
+
+        That is the routes' retry times, and the module's learned state.
+        """
         return {"waits": list(self.hosts.retry_times.items())}, self.module.learned_state()
 
     def _on_handover_received(self, event):
-        """Danger: a call that goes on with the next process, taken for ended, has its callback run twice."""
+        """Takes over the calls, retry times and learned state of the earlier process.
+
+        If a call that was handed over counted as ended, its callback would run twice.
+        """
         self.is_restart, self.is_handover = False, True
         for call_number, host, ids, start, deadline in event.calls:
             call = PendingCall(
@@ -878,7 +934,7 @@
             for c in self.callbacks.values()
             if c.current_attempt is not None and c.call is None and c.id not in event.lost_ids
         ]
-        # the earlier process had not written these calls whole, and does not any more
+        # the earlier process had not completely written these calls, and no longer will
         for callback in unsent:
             self.settle_attempt(callback, Result.NOT_SENT, self.now, True)
         if unsent:
@@ -891,7 +947,10 @@
         self.inbox.append(interface.LearnedState(event.learned_state))
 
     def _restart_module(self):
-        """The same after the module or this code broke, with this process's calls given up first."""
+        """Rebuilds the module after a fault in it or in the reducer, as after a restart.
+
+        The calls of this process are given up first.
+        """
         for call in self.calls.values():
             self.effects.append(ev.Abort(call.number))
         interrupted = [c for c in self.callbacks.values() if c.call is not None]
