--- a/molehill/core/callback.py
+++ b/molehill/core/callback.py
@@ -1,7 +1,11 @@
-"""A callback as the core holds it, its states, and a call that is not over."""
+"""Defines a callback as the reducer holds it, its states, and a call that has not ended."""
 
-# A callback. ARRIVED: read, the module has not seen it; TAKEN: in the log, 202 asked for; HELD: the client has
-# heard; OWED: ended, its notice not answered yet; OVER: nothing is owed.
+# States of a callback; the strings are written to log lines.
+# RECEIVED: read from the client, and the module has not seen it yet.
+# LOGGED: in the log, and the answer 202 has been requested.
+# ACKNOWLEDGED: the client has been told that it is accepted.
+# NOTICE_PENDING: ended, and the platform has not answered its final notice yet.
+# COMPLETED: nothing is left to do for it.
 RECEIVED, LOGGED, ACKNOWLEDGED, NOTICE_PENDING, COMPLETED = (
     "arrived",
     "taken",
@@ -17,12 +21,15 @@
     NOTICE_PENDING: (COMPLETED,),
     COMPLETED: (),
 }
-# bytes of the log for a callback beside its own text: fixed fields, launches, its end
+# log bytes of a callback besides its own text and body: fixed fields, attempts, its end
 RECORD_OVERHEAD = 600
 
 
 class Callback:
-    """One callback, from its hand-in until nothing is owed for it. Times are nanoseconds of the relay's clock."""
+    """One callback, from its submission until it is completed.
+
+    Times are nanoseconds of the relay's clock.
+    """
 
     __slots__ = (
         "id",
@@ -50,7 +57,7 @@
     )
 
     def __init__(self, submission, digest):
-        # by which a copy is known; None: unknown, an older log's
+        # recognizes a copy of the request; None: unknown, as it was read from an older log
         self.digest = digest
         self.id, self.callback_class, self.tenant, self.key = (
             submission.id,
@@ -66,13 +73,13 @@
         )
         self.state, self.clients, self.call = None, [], None
         self.attempts, self.ran_at, self.ran_zone = 0, None, None
-        # its final notice goes no sooner: a call of it may still be on its way
+        # earliest time of its final notice: a call of it may still be on its way
         self.notice_not_before = 0
-        # and this late at the most, where that is later than its time allows: it outlived a process
+        # latest time of its final notice, if later than its deadline allows: it outlived a process
         self.notice_not_after = 0
-        # calls of it that were given up -> until when their hosts may read them; None: there was none yet
+        # call that was given up -> until when its host may read it; None: there was none yet
         self.unread_calls = None
-        # current_attempt: when the launch that is out went
+        # current_attempt: when the attempt in flight started, and its host's zone
         self.current_attempt, self.rejected, self.retry_after = None, False, 0
         self.log_bytes = (
             RECORD_OVERHEAD
@@ -81,13 +88,13 @@
         )
 
     def add_unread_call(self, call: int, deadline: int) -> None:
-        """That call of it was given up, and its host may read it till then."""
+        """Records that a call was given up, and that its host may read it until `deadline`."""
         if self.unread_calls is None:
             self.unread_calls = {}
         self.unread_calls[call] = deadline
 
     def earliest_notice(self) -> int:
-        """When its notice can't be read before a call of it any more."""
+        """Returns from when on its notice can no longer be read before one of its calls."""
         return (
             max(self.notice_not_before, *self.unread_calls.values())
             if self.unread_calls
@@ -96,7 +103,11 @@
 
 
 class PendingCall:
-    """A call that is parked or out; `is_logged`: the log has it, as its bytes may have gone; `deadline`: when it is given up."""
+    """A call that is queued or in flight.
+
+    `timeouts`: a (callback id, timeout in nanoseconds) for each callback. `is_logged`: its attempts
+    are in the log, as its bytes may have been sent. `deadline`: when it is given up.
+    """
 
     __slots__ = ("number", "host", "timeouts", "ids", "created_at", "is_logged", "deadline")
 
@@ -108,5 +119,5 @@
             now,
             is_logged,
         )
-        self.ids = [number for number, _ in timeouts]
+        self.ids = [callback_id for callback_id, _ in timeouts]
         self.deadline = 0
--- a/molehill/core/events.py
+++ b/molehill/core/events.py
@@ -1,4 +1,7 @@
-"""What the reducer is told and what it asks for. Times are whole nanoseconds of the relay's one clock."""
+"""Defines the events that the reducer is handed and the effects that it returns.
+
+Times are whole nanoseconds of the relay's clock.
+"""
 
 from dataclasses import dataclass, field
 from hashlib import blake2b
@@ -10,7 +13,7 @@
 
 @dataclass(slots=True)
 class Submission:
-    """A callback as a client hands it in."""
+    """A callback as a client submits it."""
 
     id: str
     callback_class: int
@@ -18,11 +21,14 @@
     key: Optional[str]
     destination: int
     deadline: int
-    idempotency_key: Optional[str]  # the idempotency key, passed on unchanged
+    idempotency_key: Optional[str]  # passed on unchanged
     body: bytes
 
     def digest(self) -> bytes:
-        """16 bytes that tell apart what was handed in under one id. Not `deadline`: it counts from when a copy came."""
+        """Returns 16 bytes that tell apart submissions under the same id.
+
+        `deadline` is left out, as it counts from the arrival of each copy.
+        """
         fields = repr(
             (self.callback_class, self.tenant, self.key, self.destination, self.idempotency_key)
         ).encode()
@@ -31,6 +37,8 @@
 
 @dataclass(slots=True)
 class Host:
+    """A host of the list, as discovery describes it."""
+
     id: str
     address: tuple[str, int]
     zone: int
@@ -44,14 +52,14 @@
 
 @dataclass(slots=True)
 class AttemptOutcome:
-    """What became of one callback of a call."""
+    """The outcome of one callback of a call; `retry_after` in nanoseconds."""
 
     id: str
     result: interface.Result
     retry_after: int = 0
     completed: bool = False
     attempts_exhausted: bool = False
-    unsent: bool = False  # kept back by this relay: no launch
+    unsent: bool = False  # kept back by this relay: it counts as no attempt
     reason: Optional[Refusal] = None  # why it was not sent, where that is known
 
 
@@ -59,110 +67,139 @@
 
 
 @dataclass(slots=True)
-class Startup:  # the log has been read: take up what is owed
-    pass
+class Startup:
+    """The log has been read: the core resumes everything pending."""
 
 
 @dataclass(slots=True)
 class Submitted:
-    client: object  # whom to answer; given back as it came
+    """A client has submitted a callback."""
+
+    client: object  # whom to answer; returned unchanged in the answer
     submission: Submission
 
 
 @dataclass(slots=True)
-class AnswerWritten:  # the answer that it is taken on has been written to that client
+class AnswerWritten:
+    """The answer that the callback is accepted has been written to that client."""
+
     id: str
     client: object
 
 
 @dataclass(slots=True)
-class AnswerNotWritten:  # that client was gone before, or its time for an answer is up
+class AnswerNotWritten:
+    """That client was gone before its answer, or its time for an answer is up."""
+
     id: str
     client: object
 
 
 @dataclass(slots=True)
-class AppendFailed:  # the log would not take these records
+class AppendFailed:
+    """The log did not take these records."""
+
     records: list
 
 
 @dataclass(slots=True)
-class EndNotLogged:  # the time of an ended callback is up, and the log has not taken its end
+class EndNotLogged:
+    """The deadline of an ended callback has passed, and the log has not taken its end."""
+
     id: str
 
 
 @dataclass(slots=True)
-class LogWritable:  # the log takes records again
-    pass
+class LogWritable:
+    """The log takes records again."""
 
 
 @dataclass(slots=True)
-class CallConnected:  # a connection is up, and the call's first byte is about to go
+class CallConnected:
+    """A call's connection is up, and its first byte is about to be sent."""
+
     call: int
 
 
 @dataclass(slots=True)
 class CallEnded:
+    """A call has ended, for all or some of its callbacks."""
+
     call: int
     duration: int
     outcomes: list[AttemptOutcome]
     advertised_rate: float = 0.0
     advertised_left: Optional[float] = None
-    written_at: Optional[int] = None  # when its last byte went; None: it did not go
-    # given up with no byte of an answer: till then the host may read it, unless `HostFinishedReading` tells; None: it has read it, or never will
+    written_at: Optional[int] = None  # when its last byte was sent; None: it was not sent
+    # Given up without a byte of an answer: until this time the host may read the call, unless a
+    # `HostFinishedReading` comes first. None: the host has read it, or never will.
     unread_until: Optional[int] = None
 
 
 @dataclass(slots=True)
-# the host of a call that was given up reads no more of it; `confirmed`: it has ended the connection or answered, else nobody looks any more
 class HostFinishedReading:
+    """The host of a call that was given up reads no more of it, as far as the relay can tell.
+
+    `confirmed`: it has ended the connection or answered; otherwise the connection isn't watched any
+    more.
+    """
+
     call: int
     confirmed: bool
 
 
 @dataclass(slots=True)
-class NoticesDelivered:  # the platform has the notices for these
+class NoticesDelivered:
+    """The platform has received the final notices of these callbacks."""
+
     ids: list[str]
 
 
 @dataclass(slots=True)
 class HostListReceived:
+    """A list of hosts, or a part of one, has been received or restored, or could not be fetched."""
+
     scope: interface.ListScope
     hosts: list[Host] = field(default_factory=list)
-    version: Optional[int] = (
-        None  # of the list that was told; None: not told by discovery or a list of its form
-    )
+    # version of the received list; None: it is not from discovery or a list in discovery's form
+    version: Optional[int] = None
     source: str = ""  # discovery's address
 
 
 @dataclass(slots=True)
-class Step:  # time for the module to look at what has come in
-    pass
+class Step:
+    """The decision module is to process what has come in since the last step."""
 
 
 @dataclass(slots=True)
-class Stop:  # the process ends at that time
+class Stop:
+    """The process will end at the time `at`."""
+
     at: int
 
 
 @dataclass(slots=True)
-# the next process of this relay is to take over: no call is begun while it is on
 class PauseCalls:
+    """No call is started while `paused`: the next process of this relay is to take over."""
+
     paused: bool
 
 
 @dataclass(slots=True)
-# what an earlier process handed over beside the log; before Begin
 class HandoverReceived:
-    # (number, host, ids, start, until): out, and their ends come to this process
+    """State that an earlier process handed over besides the log; comes before `Startup`."""
+
+    # (number, host, ids, start, deadline) of calls in flight, whose outcomes this process gets
     calls: list
-    lost_ids: list[str]  # out in calls that are not among them: they may have run
-    retry_times: dict  # route -> end of a told wait
-    learned_state: list[dict]  # for the module, as the earlier one told it
+    lost_ids: list[str]  # in flight in calls that are not among `calls`: they may have run
+    retry_times: dict  # route -> end of a host's Retry-After
+    learned_state: list[dict]  # of the earlier process's decision module
 
 
 @dataclass(slots=True)
-class SettingsChanged:  # new settings; `class_names`: their categories', in order
+class SettingsChanged:
+    """New settings have been loaded; `class_names`: the names of their classes, in order."""
+
     settings: interface.Settings
     class_names: list[str]
 
@@ -172,70 +209,88 @@
 
 @dataclass(slots=True)
 class Append:
+    """Append a record, and the body that belongs to it, to the log."""
+
     record: dict
     body: bytes = b""
 
 
 @dataclass(slots=True)
 class Answer:
+    """Answer a client with an HTTP status; `retry_after` in nanoseconds."""
+
     client: object
     id: str
     status: int
     retry_after: int = 0
-    reason: str = ""  # what it counts as, where the status does not tell
+    reason: str = ""  # why it was answered so, where the status does not tell
 
 
 @dataclass(slots=True)
 class OutgoingCallback:
+    """A callback as it is sent in a call."""
+
     id: str
     idempotency_key: Optional[str]
     body: bytes
-    deadline: int  # given up at that time
+    deadline: int  # when this attempt is given up
 
 
 @dataclass(slots=True)
 class Call:
+    """Start a call to a host, with one or several callbacks."""
+
     number: int
     host: str
     address: tuple[str, int]
-    is_bundle: bool  # whether this kind of host takes several callbacks a call
+    is_bundle: bool  # whether this kind of host takes several callbacks in one call
     callbacks: list[OutgoingCallback]
 
 
 @dataclass(slots=True)
-class Abort:  # close a call's connection; nothing more is told of it
+class Abort:
+    """Close a call's connection; no further event of the call is expected."""
+
     call: int
 
 
 @dataclass(slots=True)
 class Notify:
+    """Send the platform the final notice of a callback; `retry_after` in nanoseconds."""
+
     id: str
     rejected: bool
     retry_after: int
-    not_before: int = 0  # the notice goes no sooner
-    deadline: int = 0  # when its callback's time is up: till then it waits for a log that fails
+    not_before: int = 0  # earliest time of the notice
+    deadline: int = 0  # of the callback: until then the notice waits for a failing log
 
 
 @dataclass(slots=True)
-class NotSent:  # a log line: a callback that was chosen for that host did not go there
+class NotSent:
+    """Write a log line: a callback that was chosen for that host was not sent there."""
+
     id: str
     host: str
     reason: Refusal
-    state: str = ""  # of the callback; empty: nothing of it is kept
-    time_left: int = 0  # nanoseconds until its time is up
+    state: str = ""  # of the callback; empty: it is not known any more
+    time_left: int = 0  # nanoseconds until its deadline
     attempts: int = 0
 
 
 @dataclass(slots=True)
 class WatchHostList:
-    pass
+    """Ask discovery for the list of hosts."""
 
 
 @dataclass(slots=True)
 class CloseIdle:
+    """Close the idle connections to a host."""
+
     host: str
 
 
 @dataclass(slots=True)
-class LogMessage:  # a log line
+class LogMessage:
+    """Write a log line."""
+
     text: str
--- a/molehill/core/permission.py
+++ b/molehill/core/permission.py
@@ -1,10 +1,20 @@
-"""Whether a callback may be sent to a host now: the one place that answers it.
-
-Asked as a call is begun, as its connection is up, and once more behind the append of its launch, right before its first byte.
-
-The decision module chooses what goes where; this is what no choice may break. Some reasons are ordinary: things change between the
-choice and the call, and the callback goes back to the module. The others (`Refusal.is_fault`) the module has to have excluded. They
-are refused all the same, and counted as broken invariants.
+"""Decides whether a callback may be sent to a host now; no other place decides this.
+
+It is asked when a call is started, when its connection is up, and again after the append of its
+attempts, right before its first byte.
+
+The decision module chooses what goes where; these rules hold whatever it chooses. Some refusals are
+ordinary: things change between the choice and the call, and the callback goes back to the module.
+The module has to exclude the others (`Refusal.is_fault`) itself. They are refused all the same, and
+counted as broken invariants.
+
+The rules, by number:
+1. A callback has one end, by its deadline, and is not sent after it.
+2. It has one attempt at a time, and is repeated only as its class allows.
+3. A host that is not listed as up gets no new call.
+4. An ejected host gets one probe at a time (kept by the decision module, not here).
+5. Callbacks of one key are sent in order.
+6. A route with a Retry-After gets no call until that is over.
 """
 
 from enum import Enum
@@ -14,7 +24,7 @@
 
 
 class Refusal(Enum):
-    """Why a callback may not be sent now; the values stand in log lines."""
+    """Why a callback may not be sent now; the values are written to log lines."""
 
     CLIENT_NOT_TOLD = "its client has not been told that it is taken on"
     TIME_UP = "its time is up"
@@ -39,7 +49,7 @@
 
     @property
     def is_fault(self) -> bool:
-        """Whether the decision module has to have excluded it."""
+        """Whether the decision module had to exclude this case itself."""
         return self in FAULTS
 
 
@@ -52,7 +62,10 @@
 
 
 def check_repeat(callback, callback_class: interface.CallbackClass, now: int) -> Optional[Refusal]:
-    """Why it may not run once more now; None: it may, or nothing of it may have run. Rule 2."""
+    """Returns why a callback may not be repeated now (rule 2).
+
+    None means that it may, or that no attempt of it may have run.
+    """
     if (
         callback.ran_at is None
         or callback_class.semantics is interface.DeliverySemantics.IDEMPOTENT
@@ -68,7 +81,10 @@
 
 
 def check_route(host, retry_at: int, now: int) -> Optional[Refusal]:
-    """Why nothing may go to that host now. Rules 3 and 6."""
+    """Returns why nothing may be sent to that host now, or None (rules 3 and 6).
+
+    `retry_at`: end of the Retry-After of its route.
+    """
     if host.condition is not interface.Condition.UP:
         return Refusal.HOST_NOT_UP
     return Refusal.TOLD_TO_WAIT if now < retry_at else None
@@ -77,9 +93,10 @@
 def check_call(
     callback, call_number: int, is_pending: bool, deadline: int, stop_at: Optional[int], now: int
 ) -> Optional[Refusal]:
-    """Why a callback of a call that is out may not be written any more. Rule 1.
+    """Returns why a callback of a call in flight may not be written any more, or None (rule 1).
 
-    `callback`: None once nothing of it is kept; `call_number`: the call's; `is_pending`: it has no end yet; `deadline`: when its call is given up.
+    `callback`: None once it is no longer known. `call_number`, `deadline`: of the call, and when it
+    is given up. `is_pending`: the callback has not ended yet.
     """
     if callback is None or not is_pending:
         return Refusal.ENDED
@@ -93,9 +110,10 @@
 def check_start(
     callback, acknowledged: bool, first_of_key: bool, stop_at: Optional[int], now: int
 ) -> Optional[Refusal]:
-    """Why no call of it may be begun now. Rules 1 and 5.
+    """Returns why no call with a callback may be started now, or None (rules 1 and 5).
 
-    `acknowledged`: its client knows that it is taken on, and it has no end yet; `first_of_key`: nothing of its key stands before it.
+    `acknowledged`: its client has been told that it is accepted, and it has not ended yet.
+    `first_of_key`: no earlier callback of its key is pending.
     """
     if callback.call is not None:
         return Refusal.CALL_IS_OUT
