--- a/molehill/core/classes.py
+++ b/molehill/core/classes.py
@@ -1,7 +1,8 @@
-"""The categories that callbacks were taken on under, by number: those of the settings, and those that held ones still need.
+"""Numbers the classes of callbacks: those of the settings, and those that pending ones still need.
 
-A number means one name with one row of settings as long as anything held bears it. New settings may name other rows, and a
-row that vanished is kept until nothing needs its number any more, so the table stays as long as what is held.
+A number stands for one name with one definition as long as a pending callback has it. New settings
+may bring other definitions, and one that vanished is kept until no callback needs its number any
+more, so the table is no longer than the pending callbacks require.
 """
 
 from dataclasses import astuple
@@ -10,15 +11,20 @@
 
 
 class ClassTable:
+    """Names and definitions of classes, by number; `names` and `definitions` are in one order."""
+
     def __init__(self, names, definitions):
         self.names, self.definitions = list(names), list(definitions)
-        # what a client's name means now
+        # class name in a request -> its number under the present settings
         self.numbers = {name: number for number, name in enumerate(names)}
-        # number in the log as it is read -> name and row
+        # number in the log that is being read -> name and definition
         self.logged_classes: dict[int, tuple] = {}
 
     def assign_number(self, name: str, definition: interface.CallbackClass, used) -> int:
-        """That of this name with just this row; one that neither `used` nor the settings need is given anew."""
+        """Returns the number of this name with exactly this definition.
+
+        If it has none, it gets the first number that is not in `used`, or a new one.
+        """
         for number, known in enumerate(zip(self.names, self.definitions)):
             if known == (name, definition):
                 return number
@@ -33,7 +39,7 @@
         return number
 
     def update(self, names, definitions, held) -> None:
-        """Takes new settings. `held`: the numbers that callbacks bear."""
+        """Applies new settings. `held`: the class numbers of pending callbacks."""
         wanted = list(zip(names, definitions))
         used = set(held) | {
             number
@@ -45,26 +51,31 @@
             self.numbers[name] = self.assign_number(name, definition, used)
             used.add(self.numbers[name])
 
-    # In the log, so that a callback keeps its category over a restart with other settings
+    # Classes are logged, so that a callback keeps its class over a restart with other settings.
 
     def records(self):
+        """Yields a record of each class for the log."""
         for number, (name, definition) in enumerate(zip(self.names, self.definitions)):
-            effect, *rest = astuple(definition)
-            yield {"k": "class", "n": number, "name": name, "row": [effect.value, *rest]}
+            semantics, *rest = astuple(definition)
+            yield {"k": "class", "n": number, "name": name, "row": [semantics.value, *rest]}
 
     def load_record(self, record) -> None:
-        """A record of the log: what its number means in the records behind it."""
-        effect, *rest = record["row"]
+        """Loads a record of the log, which says what its number means in later records."""
+        semantics, *rest = record["row"]
         self.logged_classes[record["n"]] = (
             record["name"],
-            interface.CallbackClass(interface.DeliverySemantics(effect), *rest),
+            interface.CallbackClass(interface.DeliverySemantics(semantics), *rest),
         )
 
     def resolve_number(self, number: int) -> int:
-        """What a number of the log means; an older log has no such records, and its numbers are the settings' own."""
+        """Returns the number here of a class number in the log.
+
+        An older log has no class records, and its numbers are those of the settings. Raises
+        KeyError for an unknown number.
+        """
         if number in self.logged_classes:
             name, definition = self.logged_classes[number]
             return self.assign_number(name, definition, range(len(self.definitions)))
         if not 0 <= number < len(self.definitions):
-            raise KeyError(f"category {number}")  # the record is of no use
+            raise KeyError(f"category {number}")  # the record can't be used
         return number
--- a/molehill/core/final_notices.py
+++ b/molehill/core/final_notices.py
@@ -1,35 +1,40 @@
-"""When the notice that ends a callback may go.
+"""Decides when the final notice of a callback may be sent.
 
-A call and the notice behind it go by connections of their own, and nothing orders these: a platform may read the notice before a host
-reads the call. So a notice waits until the hosts of calls that were given up have read them or never will, as long as the rules leave.
-No input, output or clock here; all times are nanoseconds of the relay's clock.
+A call and a later notice use separate connections, and nothing orders these: a platform may read
+the notice before a host reads the call. So a notice waits until the hosts of calls that were given
+up have read them or never will, for as long as the rules allow. This module does no input or output
+and reads no clock; all times are nanoseconds of the relay's clock.
 """
 
 from typing import Iterable, Optional
 
 from molehill.config import MS
 
-# Between the last byte of a call whose connection broke and the notice
+# From the last byte of a call whose connection broke to the notice
 BROKEN_CALL_DELAY = 100 * MS
-# Behind the callback's time: the rules leave 300 ms, of which a process may be held up for 150
+# After the deadline of the callback: the rules allow 300 ms, of which a process may stall for 150
 LATEST_AFTER_DEADLINE = 150 * MS
-# the same where a call was written that late, as this process was held up before the write; of 350 ms
+# The same for a call written after the deadline, as this process stalled before the write; the
+# rules then allow 350 ms
 LATEST_AFTER_LATE_WRITE = 200 * MS
-# Behind a start: the rules leave 1.5 s
+# After a start: the rules allow 1.5 s
 LATEST_AFTER_START = 1200 * MS
 
 
 class FinalNotices:
-    """Keeps what may be read late. `connect_timeout`: by when a host has a call that was written, or its connection counts as
-    never up."""
+    """Keeps the calls that were given up and may still be read by their hosts.
+
+    `connect_timeout`: nanoseconds after which a host has received a call that was written, or the
+    connection counts as never established.
+    """
 
     def __init__(self, connect_timeout: int):
         self.connect_timeout = connect_timeout
-        # calls that were given up, their hosts not known to have read them -> ids
+        # call that was given up, and whose host is not known to have read it -> callback ids
         self.given_up_calls: dict[int, list[str]] = {}
 
     def not_before(self, callback) -> int:
-        """The time before which the callback's notice may not go."""
+        """Returns the time before which the callback's notice may not be sent."""
         latest = max(callback.deadline + LATEST_AFTER_DEADLINE, callback.notice_not_after)
         return min(callback.earliest_notice(), latest)
 
@@ -41,7 +46,11 @@
         unread_until: Optional[int],
         may_still_run: bool,
     ) -> None:
-        """A call of it has its outcome. `written_at`, `unread_until`: as of `ev.CallEnded`; `may_still_run`: it may run still."""
+        """Records that a call with this callback has ended.
+
+        `written_at`, `unread_until`: as in `events.CallEnded`. `may_still_run`: the host may still
+        run the callback.
+        """
         if written_at is not None and written_at >= callback.deadline:
             callback.notice_not_after = callback.deadline + LATEST_AFTER_LATE_WRITE
         if unread_until is not None:
@@ -53,14 +62,17 @@
             )
 
     def pop_call(self, call: int) -> list[str]:
-        """Nothing more will be known of the host of that call; the ids that it was for."""
+        """Forgets a call of whose host nothing more will be known; returns its callback ids."""
         return self.given_up_calls.pop(call, [])
 
     def delay_after_recovery(self, callback, sent_at: int) -> None:
-        """A call of it by an earlier process ended without an answer; that process launched it then."""
+        """Delays the notice for an earlier process's call that ended without an answer.
+
+        `sent_at`: when that process sent the callback.
+        """
         callback.notice_not_before = max(callback.notice_not_before, sent_at + self.connect_timeout)
 
     def extend_after_start(self, callbacks: Iterable, now: int) -> None:
-        """These outlived a process that was ended."""
+        """Allows a later notice for callbacks that outlived the process that accepted them."""
         for callback in callbacks:
             callback.notice_not_after = now + LATEST_AFTER_START
--- a/molehill/core/host_list.py
+++ b/molehill/core/host_list.py
@@ -1,7 +1,8 @@
-"""The list of hosts as this relay was last told it, kept in the log so that it outlasts the process.
+"""Keeps the last list of hosts that this relay received, in the log so that it survives a restart.
 
-A host that was told to drain may get no call of the next process either, and the file's `known` may be older than what the process
-before was told. Plain data, no input or output.
+A host that was listed as draining may not get a call from the next process either, and `known` in
+the configuration file may be older than what the earlier process received. Plain data, no input or
+output.
 """
 
 from dataclasses import dataclass, field
@@ -15,13 +16,14 @@
     interface.Condition.GONE: "left",
 }
 ACTIVE, LEFT = STATUS_NAMES[interface.Condition.UP], STATUS_NAMES[interface.Condition.GONE]
-# how far a status is from active: of two lists that may each be the newer one, the further counts
+# How far a status is from active. If either of two lists may be the newer one, the status that is
+# further from active counts.
 SEVERITY = {ACTIVE: 0, "leaving": 1, LEFT: 2}
-ROW_OVERHEAD = 60  # bytes of a row in the log beside its texts
+ROW_OVERHEAD = 60  # bytes of a row in the log besides its texts
 
 
 class HostRow(NamedTuple):
-    """A host in the log, in the order of these fields, with the words of discovery."""
+    """A host in the log: its fields in this order, with the status names of discovery."""
 
     name: str
     address: str
@@ -32,12 +34,12 @@
     weight: float
 
     def as_entry(self) -> dict:
-        """The same in discovery's form."""
+        """Returns the row in discovery's form."""
         return self._asdict()
 
 
 def row_from_host(host) -> HostRow:
-    """The row of a host of molehill/core/events.py."""
+    """Returns the row of an `events.Host`."""
     return HostRow(
         host.id,
         "%s:%d" % host.address,
@@ -51,7 +53,11 @@
 
 @dataclass
 class ReceivedList:
-    """`rows`: the hosts that are listed, by name; `version`: discovery's, None before anything was told; `source`: its address."""
+    """The last list received from discovery.
+
+    `rows`: the listed hosts, by name. `version`: discovery's version of the list, None before one
+    was received. `source`: discovery's address.
+    """
 
     rows: dict[str, HostRow] = field(default_factory=dict)
     version: Optional[int] = None
@@ -59,7 +65,11 @@
     log_bytes: int = 0  # bytes that the rows take in the log
 
     def load(self, record: dict) -> None:
-        """A record of the log. Raises KeyError, TypeError and ValueError for one of no use, and takes nothing of it."""
+        """Loads a record of the log.
+
+        Raises KeyError, TypeError or ValueError for a record that can't be used, and then changes
+        nothing.
+        """
         rows = [HostRow(*row) for row in record["rows"]]
         version, source = int(record["version"]), str(record["source"])
         for row in rows:
@@ -67,13 +77,18 @@
         self.version, self.source = version, source
 
     def as_record(self, rows: Iterable[HostRow]) -> dict:
-        """The fields of a record with these rows."""
+        """Returns the fields of a record with these rows."""
         return {"version": self.version, "source": self.source, "rows": list(rows)}
 
     def update(
         self, hosts, is_complete: bool, version: Optional[int], source: str
     ) -> list[HostRow]:
-        """Takes what was told, and gives the rows that changed; `is_complete`: hosts that are not among `hosts` have left."""
+        """Applies a received list, and returns the rows that changed.
+
+        `is_complete`: hosts that are not among `hosts` have left. `version`: None for a list that
+        is not from discovery or in discovery's form; such a list changes nothing before a version
+        is known.
+        """
         if version is None and self.version is None:
             return []
         received = [row_from_host(host) for host in hosts]
@@ -102,21 +117,28 @@
 
 
 def row_bytes(row: HostRow) -> int:
+    """Estimates the bytes that a row takes in the log."""
     return ROW_OVERHEAD + len(row.name) + len(row.address) + len(row.zone) + len(row.type)
 
 
 class RestoredList(NamedTuple):
-    """What a process begins with: entries in discovery's form; the version to watch from, None: the whole list is asked for."""
+    """The list that a process starts with.
+
+    `entries` are in discovery's form. `version`: the one to watch from; None: the whole list is
+    requested.
+    """
 
     entries: list
     version: Optional[int]
 
 
 def restore_host_list(received: Optional[ReceivedList], file_list, source: str) -> RestoredList:
-    """The list at a start, out of the log's and the file's `known`, which is in discovery's form. Raises ValueError for no list.
+    """Returns the list to start with, from the log's and the file's (`known`, in discovery's form).
 
-    The log's counts where its version is the same or higher and discovery has the same address. Else the file may be newer, or
-    discovery moved or counts anew: no version tells, and a host counts by the word of the two lists that is further from active.
+    The log's list is used if its version is the same or higher and discovery has the same address.
+    Otherwise the file may be newer, or discovery may have moved or restarted its versions. Then the
+    versions don't tell which list is newer, and each host gets the status of the two that is
+    further from active. Raises ValueError if neither is a list of hosts.
     """
     entries, version = file_entries(file_list)
     if received is None or received.version is None:
@@ -126,7 +148,7 @@
     entries = entries or []
     if received.source == source and received.version >= version:
         return RestoredList([row.as_entry() for row in received.rows.values()], received.version)
-    # names as text, as the reader of discovery's lists takes them
+    # names as text, as the reader of discovery's lists converts them
     by_name = {str(row["name"]): row for row in entries if isinstance(row, dict) and "name" in row}
     merged = [merge_status(row, received.rows.get(name)) for name, row in by_name.items()]
     file_is_newer = received.source == source and bool(file_list.get("snapshot"))
@@ -136,7 +158,7 @@
 
 
 def file_entries(file_list) -> tuple[Optional[list], int]:
-    """The file's entries and version; None and 0 where it is no list of hosts."""
+    """Returns the file's entries and version; None and 0 if it holds no list of hosts."""
     try:
         entries, version = file_list.get("endpoints", []), int(file_list.get("index") or 0)
     except (AttributeError, TypeError, ValueError):
@@ -145,7 +167,7 @@
 
 
 def merge_status(entry: dict, row: Optional[HostRow]) -> dict:
-    """The file's entry, with the log's status where that is further from active."""
+    """Returns the file's entry, with the log's status if that is further from active."""
     if row is None:
         return entry
     statuses = (str(entry.get("status")), row.status)
--- a/molehill/core/host_table.py
+++ b/molehill/core/host_table.py
@@ -1,6 +1,7 @@
-"""What the core knows of each host: its row of the list, whether it was away, and waits that its route was told.
+"""Holds what the core knows of each host: its list entry, its ejection, its route's Retry-After.
 
-No input, output or clock here; all times are nanoseconds of the relay's clock.
+This module does no input or output and reads no clock; all times are nanoseconds of the relay's
+clock.
 """
 
 from typing import Any, Iterable, Iterator, NamedTuple, Optional
@@ -10,27 +11,27 @@
 from molehill.core import events as ev
 from molehill.core.metrics import Metrics
 
-# longer than any gap in the list: a host that is back sooner is the one known
+# longer than any gap in the list: a host that returns sooner counts as the same host
 REMOVED_HOST_RETENTION = 60 * SECOND
 
 
 class GaugeState(NamedTuple):
-    """How a host counts in the gauges of the list."""
+    """What a host adds to the gauges of the list."""
 
     listed: bool = False
     unavailable: bool = False
 
 
 class HostTable:
-    """Hosts by their id, those that left lately with them."""
+    """Hosts by id, including those that left the list recently."""
 
     def __init__(self, metrics: Metrics):
         self.metrics = metrics
         self.by_id: dict[str, ev.Host] = {}
-        self.retry_times: dict[object, int] = {}  # route -> end of a told wait
-        # host -> None while closed, then when its ramp is over
+        self.retry_times: dict[object, int] = {}  # route -> end of its Retry-After
+        # host -> None while it is ejected, then the end of its slow start
         self.ejected: dict[str, Optional[int]] = {}
-        self.unlisted_since: dict[str, int] = {}  # host that is not listed -> since when
+        self.unlisted_since: dict[str, int] = {}  # unlisted host -> since when
         self.gauge_states: dict[str, GaugeState] = {}  # of hosts that are listed
 
     def __getitem__(self, host: str) -> ev.Host:
@@ -46,23 +47,27 @@
         return len(self.by_id)
 
     def values(self) -> Iterable[ev.Host]:
-        """All that are known."""
+        """Returns all known hosts."""
         return self.by_id.values()
 
     def set_health(self, host: str, slow_start_end: Optional[int]) -> None:
-        """Rule 4 over restarts: a host is away from its closing (None) until it has answered for the whole ramp."""
+        """Records a host's ejection, also over restarts (rule 4: an ejected host gets one probe).
+
+        It counts as ejected while `slow_start_end` is None, and then until `slow_start_end`, when
+        it has answered for the whole slow start.
+        """
         self.ejected[host] = slow_start_end
         self._update_gauges(host)
 
     def is_ejected(self, host: str, now: int) -> bool:
-        """Whether it was closed and has not yet answered for the whole ramp."""
+        """Whether it was ejected and has not yet answered for the whole slow start."""
         if host not in self.ejected:
             return False
         slow_start_end = self.ejected[host]
         return slow_start_end is None or now < slow_start_end
 
     def _update_gauges(self, host_id: str) -> None:
-        """Keeps the gauges of the list: what of this host counts in them now."""
+        """Updates the gauges of the list to the present state of this host."""
         host = self.by_id.get(host_id)
         listed = host is not None and host.condition is not interface.Condition.GONE
         serving = host is not None and host.condition is interface.Condition.UP
@@ -76,7 +81,10 @@
             self.gauge_states.pop(host_id, None)
 
     def apply_list(self, hosts: list[ev.Host], is_complete: bool) -> list[str]:
-        """The list, or what changed of it; ids of hosts whose idle connections are of no use any more."""
+        """Applies the whole list (`is_complete`) or its changes.
+
+        Returns the ids of hosts whose idle connections are of no use any more.
+        """
         if is_complete:
             named = {host.id for host in hosts}
             for host in [host for host in self.by_id.values() if host.id not in named]:
@@ -92,11 +100,14 @@
         return stale
 
     def set_retry_time(self, route: object, until: int) -> None:
-        """A host told that route to wait."""
+        """Records a host's Retry-After for its route; a later end that is known already stays."""
         self.retry_times[route] = max(self.retry_times.get(route, 0), until)
 
     def drop_expired(self, busy: set[Any], now: int) -> None:
-        """Drops what is kept of hosts that left long ago and are not `busy`; waits and ramps that are over."""
+        """Forgets hosts that left long ago and are not `busy`, and what has expired.
+
+        That is the Retry-After of routes and the slow start of hosts.
+        """
         for host_id in [*self.by_id, *self.ejected]:
             host = self.by_id.get(host_id)
             listed = host is not None and host.condition is not interface.Condition.GONE
--- a/molehill/core/metrics.py
+++ b/molehill/core/metrics.py
@@ -1,6 +1,8 @@
-"""The figures that operators read: each counted in the one place where the reducer or the network makes that change.
+"""Holds the metrics that operators read.
 
-Counts run from the start of the process. Gauges are kept as changes happen, never by a walk over all that is held.
+Each is updated in the one place where the reducer or the network makes that change. Counters run
+from the start of the process. Gauges are updated as changes happen, never by a walk over everything
+that is held.
 """
 
 from collections import Counter
@@ -17,21 +19,28 @@
 
 
 class Metrics:
-    """`end_counts`: class of callback -> how many ended in each way; one that vanished keeps its row."""
+    """Counters and gauges of one relay.
+
+    `end_counts`: class name -> how many callbacks ended in each way. A class that vanished from the
+    settings keeps its counts.
+    """
 
     def __init__(self, classes):
         self.end_counts: dict[str, dict[str, int]] = {}
         self.relayed = self.cfg_accepted = self.cfg_invalid = 0
         self.open_requests = self.registry_entries = self.out_of_rotation = 0
-        self.not_sent: Counter[Refusal] = Counter()  # callbacks that were chosen and did not go
+        self.not_sent: Counter[Refusal] = (
+            Counter()
+        )  # callbacks that the module chose to send and that were not sent
         self.add_classes(classes)
 
     def add_classes(self, classes) -> None:
+        """Starts the counts of classes, by name; those of known classes stay."""
         for class_name in classes:
             self.end_counts.setdefault(class_name, dict.fromkeys(END_NAMES, 0))
 
     def render(self) -> str:
-        """A line a figure: `router.NAME:VALUE|c` (a count) or `|g` (a gauge)."""
+        """Returns one line for each metric: `router.NAME:VALUE|c` (counter) or `|g` (gauge)."""
         rows = [
             (f"{end}.{class_name}", counts[end], "c")
             for class_name, counts in self.end_counts.items()
--- a/molehill/core/recovery.py
+++ b/molehill/core/recovery.py
@@ -1,4 +1,8 @@
-"""Recovery from the log: its records rebuild the core's state at a start, and a snapshot of that state replaces the log."""
+"""Rebuilds the core's state from the log's records, and writes it as a snapshot.
+
+The records are loaded at a start. A snapshot holds the records of everything pending, and a log of
+just these replaces a longer one.
+"""
 
 import re
 from typing import Iterator
@@ -9,18 +13,19 @@
 from molehill.interface import Result
 
 RECORD_KIND_PATTERN = re.compile(rb'"k":"([a-z]+)"')
-# kinds of record that are surely no launch
+# kinds of record that certainly hold no attempt (kind `launch`)
 NON_ATTEMPT_KINDS = b"taken end owed over done class rest health list clock filler".split()
-LONG_AGO = 0  # of a launch at an unknown time: before any window that is still open
-# of the room for what is owed, in a snapshot for the latest ids over: seconds to minutes of traffic
+# time of an attempt at an unknown time: before any deduplication window that is still open
+LONG_AGO = 0
+# share of the log capacity (1/8) for the latest completed ids in a snapshot: seconds to minutes of
+# traffic
 COMPLETED_IDS_DIVISOR = 8
-COMPLETED_ID_OVERHEAD = (
-    48  # bytes of such an id beside its text: contents in hex, quotes and commas
-)
+# bytes of such an id besides its text: digest in hex, quotes and commas
+COMPLETED_ID_OVERHEAD = 48
 
 
 class Recovery:
-    """Puts records into `core`, of molehill/core/reducer.py, in the order in which they were written."""
+    """Loads records into a `Core` (molehill/core/reducer.py), in the order they were written."""
 
     def __init__(self, core):
         self.core = core
@@ -37,8 +42,10 @@
         }
 
     def load(self, record: dict, body: bytes) -> None:
-        """One record; later ones override, kinds that are not known are passed over. Raises KeyError and the like for one of no
-        use."""
+        """Loads one record; later records override earlier ones, unknown kinds are ignored.
+
+        Raises KeyError, TypeError, ValueError or the like for a record that can't be used.
+        """
         kind = record["k"]
         if kind == "taken":
             self._load_taken(record, body)
@@ -70,8 +77,8 @@
 
     def _load_launch(self, record):
         for callback in self.core.find_callbacks(record["ids"]):
-            # Danger: a process ended under the launch before, and the next one only knew so in memory. Its window
-            # and zone count from that first launch, not from this one.
+            # An earlier process ended during the previous attempt, and the next one only knew this
+            # in memory. Window and zone count from that first attempt, not from this one.
             if callback.current_attempt is not None:
                 self.core.settle_attempt(callback, Result.RESET, callback.current_attempt[0])
             callback.attempts += 1
@@ -96,7 +103,7 @@
 
     def _load_over(self, record):
         for callback in self.core.find_callbacks(record["ids"]):
-            # over, while its call was out with others
+            # completed while its call was still in flight
             if callback.current_attempt is not None and callback.key is not None:
                 self.core.unsettled_keys[callback.key] = True
             self.core.set_state(callback, COMPLETED)
@@ -114,10 +121,11 @@
         self.core.set_health(record["host"], record["away"], record["at"])
 
     def load_corrupt(self, data: bytes) -> None:
-        """Bytes of the log that can't be read.
+        """Handles bytes of the log that can't be read.
 
-        Danger: they may be a launch, whose callback would run twice. So those that it may have launched, all that look
-        untried if it names none, count as launched, unless a repeat is harmless.
+        They may be the record of an attempt, and its callback would run twice. So the callbacks
+        that the bytes name and that look untried, or all that look untried if they name none, count
+        as attempted, unless a repeat is harmless.
         """
         if not data.strip(b"\0"):  # a hole in the file
             return
@@ -133,16 +141,16 @@
             callback.current_attempt = LONG_AGO, None
 
     def _looks_untried(self, callback) -> bool:
-        effect = self.core.settings.callback_classes[callback.callback_class].semantics
+        semantics = self.core.settings.callback_classes[callback.callback_class].semantics
         return (
             callback.current_attempt is None
             and callback.ran_at is None
-            and effect is not interface.DeliverySemantics.IDEMPOTENT
+            and semantics is not interface.DeliverySemantics.IDEMPOTENT
         )
 
 
 def submitted_fields(callback) -> dict:
-    """The fields of a `taken` record that never change."""
+    """Returns the fields of a `taken` record that never change."""
     fields = {
         "id": callback.id,
         "category": callback.callback_class,
@@ -152,13 +160,13 @@
         "due": callback.deadline,
         "mark": callback.idempotency_key,
     }
-    if not callback.body and callback.digest:  # nothing to work them out from, or no longer
+    if not callback.body and callback.digest:  # no body to compute the digest from, or no longer
         fields["contents"] = callback.digest.hex()
     return fields
 
 
 def snapshot(core) -> Iterator[tuple[dict, bytes]]:
-    """The records, each with its body, that say all that is owed now."""
+    """Yields the records, each with its body, of everything pending."""
     for record in core.classes.records():
         yield record, b""
     for key, until in core.cooldowns.items():
@@ -178,8 +186,11 @@
 
 
 def _recently_completed(core) -> list:
-    """Danger: forgotten with the log that told of them, a request that its client sends once more after a restart is taken
-    on anew."""
+    """Returns the latest completed ids, as [id, digest in hex or None], oldest first.
+
+    If they were lost with the replaced log, a request that its client sends again after a restart
+    would be accepted anew.
+    """
     rows, space_left = [], core.log_capacity // COMPLETED_IDS_DIVISOR
     for callback_id, digest in core.recently_completed.newest_first():
         space_left -= len(callback_id) + COMPLETED_ID_OVERHEAD
