--- a/molehill/log_clock.py
+++ b/molehill/log_clock.py
@@ -1,11 +1,13 @@
-"""Times in the log, and how they are told from one process to the next.
-
-A process goes by the monotonic clock alone, which nobody steps, and which runs on until the machine is booted anew. The log holds
-times of a clock that outlasts a reboot: the monotonic one plus an epoch. The epoch is chosen once, so that these times are near
-Unix time, and stands in a `clock` record with the boot's id; later processes of the same boot take it from there, so that a step of
-the wall clock between or during them moves nothing. After a reboot only the wall clock tells how long the machine was down. Then
-it is taken as it is, but never as earlier than the latest time in the log: a span may be cut short or drawn out by as much as the wall
-clock was stepped meanwhile, and drawn out by no more than from the last record to the reboot.
+"""Converts between the times of a process and the times in the log, which later processes read.
+
+A process uses only the monotonic clock, which is never stepped, and which runs on until the machine
+reboots. The log holds times of a clock that outlasts a reboot: the monotonic clock plus an epoch.
+The epoch is chosen once, so that these times are near Unix time, and is kept in a `clock` record
+with the boot id. Later processes of the same boot take it from there, so that a step of the wall
+clock between or during them changes no time. After a reboot only the wall clock tells how long the
+machine was down. It is then used as it is, but never as earlier than the latest time in the log: a
+time span may be shortened or lengthened by as much as the wall clock was stepped meanwhile, and
+lengthened by no more than the time from the last record to the reboot.
 """
 
 import json
@@ -15,7 +17,7 @@
 from typing import Iterable
 
 RECORD_KIND = "clock"
-# kind of record -> its keys that hold times of the log's clock
+# kind of record -> its keys whose values are times of the log's clock
 TIME_KEYS = {
     "taken": ("due", "ran_at"),
     "launch": ("at",),
@@ -23,15 +25,15 @@
     "rest": ("until",),
     "health": ("at",),
 }
-WRITTEN_AT_KEY = "at"  # key of records that tell when they were written
+WRITTEN_AT_KEY = "at"  # key of the time at which a record was written
 WRITTEN_AT_PATTERN = re.compile(rb'"at":(\d{1,20})\b')
 CLOCK_LINE_PREFIX = b'{"k":"clock"'
-# ns by which the latest time in the log may lie ahead of a clock that is believed
+# nanoseconds by which the latest time in the log may be ahead of a logged clock that is trusted
 MAX_CLOCK_STEP = 1_000_000_000
 
 
 class EpochSource(Enum):
-    """Where the epoch came from."""
+    """How the epoch was found; the values are written to a log line."""
 
     NEW_LOG = "nothing was logged yet"
     SAME_BOOT = "the log's own clock"
@@ -41,13 +43,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LogClock:
-    """`epoch`: nanoseconds to add to the monotonic clock; `source`: how it was found."""
+    """The clock of the log.
+
+    `epoch`: nanoseconds to add to the monotonic clock. `source`: how it was found.
+    """
 
     epoch: int
     source: EpochSource
 
     def as_record(self, machine) -> dict:
-        """What later processes find it by."""
+        """Returns the `clock` record by which later processes find this clock."""
         return {
             "k": RECORD_KIND,
             "boot": machine.boot_id,
@@ -56,27 +61,28 @@
         }
 
     def to_log(self, record: dict) -> dict:
-        """A record of the core, with its times as the log holds them."""
+        """Returns a record of the core with its times converted to the log's clock."""
         return shift_times(record, self.epoch)
 
     def from_log(self, record: dict) -> dict:
-        """The reverse of `to_log`."""
+        """Returns a record of the log with its times converted to the monotonic clock."""
         return shift_times(record, -self.epoch)
 
 
 def shift_times(record: dict, offset: int) -> dict:
-    """The record with its times moved; absent and null ones stay."""
+    """Returns the record with `offset` nanoseconds added to its times; null times stay null."""
     keys = TIME_KEYS.get(record["k"], ())
-    moved = {key: record[key] + offset for key in keys if record.get(key) is not None}
-    return {**record, **moved} if moved else record
+    shifted = {key: record[key] + offset for key in keys if record.get(key) is not None}
+    return {**record, **shifted} if shifted else record
 
 
 def is_time(value) -> bool:
+    """Whether a value of a record is a time: an int, and not a bool."""
     return isinstance(value, int) and not isinstance(value, bool)
 
 
 def find_clock(lines: Iterable[bytes], machine) -> LogClock:
-    """The clock of the log whose records these are, as lines of JSON."""
+    """Returns the clock of a log, given the JSON lines of its records."""
     clock_record, latest, is_empty = None, None, True
     for line in lines:
         is_empty = False
@@ -99,7 +105,7 @@
 
 
 def is_complete(record: dict) -> bool:
-    """Whether a `clock` record has what it is to have."""
+    """Whether a `clock` record has a boot id and both times."""
     boot = record.get("boot")
     return (
         isinstance(boot, str)
--- a/molehill/store.py
+++ b/molehill/store.py
@@ -1,13 +1,15 @@
-"""The log in the folder that lasts: append-only records with checksums, read again at the next start.
-
-A record is a length and a CRC-32, then a line of JSON that begins with MARK, and the callback's bytes. What was written
-outlasts the process without a sync. MARK stands nowhere but at the start of a record, so whole records are found again
-behind bytes that were torn or spoilt. The records of one append count together: of an append that a kill or a failed
-write cut off, none is read.
-
-Nothing is appended while the end of the log is not known to be whole: what a failed write left there is cut off, or
-overwritten by a record that says nothing, before anything else is written. Once the log has grown past its mark it is
-written anew with just what is owed, and takes the old one's place by a rename.
+"""Implements the log in the persistent folder: append-only records with checksums.
+
+A record is a length and a CRC-32, then a line of JSON that begins with RECORD_PREFIX, and the
+callback's body. What was written outlasts the process without a sync. RECORD_PREFIX occurs nowhere
+but at the start of a record, so whole records are found again after torn or corrupt bytes. The
+records of one append are atomic: if a kill or a failed write cut an append off, none of its records
+is read.
+
+Nothing is appended while the end of the log is not known to be whole: what a failed write left
+there is truncated, or overwritten by a filler record, before anything else is written. Once the log
+has grown past a limit, it is rewritten with only the pending state, and the new file replaces the
+old one by a rename. The records are read again at the next start.
 """
 
 import base64
@@ -18,25 +20,25 @@
 from typing import Callable, Iterator, NamedTuple
 
 HEADER = struct.Struct(">II")
-# how each record's JSON begins; JSON escapes it in texts, and a body that holds it is encoded
+# start of each record's JSON; JSON escapes it in texts, and a body that contains it is encoded
 RECORD_PREFIX = b'{"k":"'
-BLOCK_SIZE = 512  # files count in whole blocks of so many bytes
-FILLER = "filler"  # kind of a record that only covers what a failed write left
-REMAINING_KEY = "more"  # key of a record: how many records of the same append follow it
-BASE64_KEY = "b64"  # key of a record: its body is in base64
+BLOCK_SIZE = 512  # bytes; files are counted in whole blocks
+FILLER = "filler"  # kind of a record that only overwrites what a failed write left
+REMAINING_KEY = "more"  # key in a record: how many records of the same append follow it
+BASE64_KEY = "b64"  # key in a record: its body is in base64
 
 
 class Chunk(NamedTuple):
-    """A stretch of the log's bytes: a whole record, or what lies between two."""
+    """A range of the log's bytes: a whole record, or what lies between two."""
 
     start: int
     end: int
-    payload: bytes | None  # None: no record
-    is_torn: bool = False  # no record, and cut off by the end of the log
+    payload: bytes | None  # None: the range is no record
+    is_torn: bool = False  # no record, but one that the end of the log cut off
 
 
 def encode(record: dict, body: bytes = b"") -> bytes:
-    """One record's bytes. `record` has its kind as its first key, `k`."""
+    """Returns the bytes of one record. The first key of `record` is `k`, its kind."""
     if RECORD_PREFIX in body:
         record, body = {**record, BASE64_KEY: True}, base64.b64encode(body)
     payload = json.dumps(record, separators=(",", ":")).encode("ascii") + b"\n" + body
@@ -44,7 +46,7 @@
 
 
 def encode_append(rows) -> bytes:
-    """Rows (record, body) of one append; read again all or none."""
+    """Returns the bytes of one append of (record, body) rows; all or none are read again."""
     last_index = len(rows) - 1
     return b"".join(
         encode({**record, REMAINING_KEY: last_index - n} if n < last_index else record, body)
@@ -53,7 +55,7 @@
 
 
 def decode(payload: bytes) -> tuple[dict, bytes]:
-    """A record and its body. Raises ValueError and the like for what is none."""
+    """Returns a record and its body. Raises ValueError or the like for a payload that is none."""
     line, _, body = payload.partition(b"\n")
     record = json.loads(line)
     if record.pop(BASE64_KEY, False):
@@ -62,24 +64,24 @@
 
 
 def make_filler(size: int) -> bytes:
-    """A record that says nothing, of so many bytes, or as few more as a record needs."""
+    """Returns a record without meaning, of `size` bytes, or of the least size of a record."""
     shortest = encode({"k": FILLER})
     return encode({"k": FILLER}, b" " * max(0, size - len(shortest)))
 
 
 def payload_at(data: bytes, offset: int) -> bytes | None:
-    """The payload of the whole record that begins there, or None."""
+    """Returns the payload of the whole record that begins at `offset`, or None."""
     if offset + HEADER.size > len(data):
         return None
     length, checksum = HEADER.unpack_from(data, offset)
     payload = data[offset + HEADER.size : offset + HEADER.size + length]
-    # Danger: a length and a checksum of 0 fit each other, as in a hole of the file
-    whole = 0 < length == len(payload) and zlib.crc32(payload) == checksum
-    return payload if whole else None
+    # A length of 0 and a checksum of 0 match, as in a hole in the file, so 0 is no valid length.
+    is_whole = 0 < length == len(payload) and zlib.crc32(payload) == checksum
+    return payload if is_whole else None
 
 
 def find_next_record(data: bytes, start: int) -> int:
-    """Where the next whole record behind `start` begins; the end of the data if there is none."""
+    """Returns where the next whole record after `start` begins, or the end of the data."""
     found = data.find(RECORD_PREFIX, start + 1 + HEADER.size)
     while found >= 0:
         if payload_at(data, found - HEADER.size) is not None:
@@ -89,7 +91,10 @@
 
 
 def is_corrupt_record(data: bytes, offset: int, end: int) -> bool:
-    """Whether what lies there is a record of just that length that does not fit its checksum: written whole, spoilt later."""
+    """Whether the range is a record of exactly that length that does not match its checksum.
+
+    Such a record was written whole and corrupted later.
+    """
     if end - offset < HEADER.size:
         return False
     length, _ = HEADER.unpack_from(data, offset)
@@ -97,7 +102,7 @@
 
 
 def scan(data: bytes) -> Iterator[Chunk]:
-    """The log's bytes in order, piece by piece."""
+    """Yields the chunks of the log in order."""
     offset = 0
     while offset < len(data):
         payload = payload_at(data, offset)
@@ -116,7 +121,7 @@
 
 
 def write_all(disk, fd: int, data: bytes) -> bool:
-    """Writes all of it, however short single writes are; False if the file would not take it."""
+    """Writes all of `data`, however short single writes are; False if the file did not take it."""
     view = memoryview(data)
     try:
         while view:
@@ -130,12 +135,19 @@
 
 
 class Store:
-    """One log. Its constructor and `read` raise OSError; all else reports failure by its result."""
+    """One log file.
+
+    The constructor and `read` raise OSError; all other methods report failure by their result.
+    """
 
     FILE_NAME, NEW_FILE_NAME = "log", "log.new"
 
     def __init__(self, folder: str, max_bytes: int, disk):
-        """`max_bytes`: bytes that this log and a new one beside it may take up together; `disk` as of runtime/kernel.py."""
+        """Opens the log in `folder`, and removes the rest of an unfinished rewrite.
+
+        `max_bytes`: bytes that this log and a new one beside it may take up together. `disk`: a
+        `Disk` of runtime/kernel.py.
+        """
         self.disk = disk
         self.path, self.new_path = (
             os.path.join(folder, self.FILE_NAME),
@@ -143,17 +155,17 @@
         )
         self.max_bytes, self.size, self.live_bytes, self.append_failed = max_bytes, 0, 0, False
         self.is_full = False  # the last append had no room
-        self.tail_bytes = 0  # bytes behind `size` that a failed write may have left
-        # as read: bytes cut off; records of no use; stretches that can't be read
+        self.tail_bytes = 0  # bytes after `size` that a failed write may have left
+        # found at a read: bytes cut off; records that can't be used; chunks that can't be read
         self.truncated_bytes = self.unusable_records = self.corrupt_chunks = 0
-        self.data = b""  # as read, until it is replayed
+        self.data = b""  # the log as read, until it is replayed
         disk.makedirs(folder)
         if disk.exists(self.new_path):
-            disk.unlink(self.new_path)  # a rewrite that was cut off before its rename
+            disk.unlink(self.new_path)  # a rewrite that was interrupted before its rename
         self.fd = disk.open(self.path)
 
     def read(self) -> None:
-        """Reads the file and settles its end; `replay` then gives what it holds."""
+        """Reads the file and repairs its end; `replay` then hands out the records."""
         self.data = self.disk.read(self.path)
         end = self._committed_end()
         self.truncated_bytes, self.size, self.tail_bytes = (
@@ -168,11 +180,9 @@
             raise OSError("the end of the log can't be settled")
 
     def _committed_end(self) -> int:
-        """Where the last append that was not cut off ends."""
-        end, append_start = (
-            0,
-            None,
-        )  # append_start: where an append begins whose last record has not come
+        """Returns where the last append that was not cut off ends."""
+        # append_start: where an append begins whose last record has not been found yet
+        end, append_start = 0, None
         for chunk in scan(self.data):
             if chunk.payload is None:
                 if chunk.is_torn:
@@ -185,14 +195,17 @@
         return end if append_start is None else min(end, append_start)
 
     def record_lines(self) -> Iterator[bytes]:
-        """The line of JSON of each record that was read, for a look before the replay."""
+        """Yields the line of JSON of each record that was read, for a look before the replay."""
         for chunk in scan(self.data):
             if chunk.payload is not None:
                 yield chunk.payload.partition(b"\n")[0]
 
     def replay(self, load: Callable, load_corrupt: Callable = lambda data: None) -> int:
-        """Hands each record and its body to `load`, in order, and bytes that can't be read to `load_corrupt`; how many records
-        were of use. What is handed over is not kept."""
+        """Hands each record and its body to `load`, and bytes that can't be read to `load_corrupt`.
+
+        Both are called in the order of the log. Returns how many records could be used. The data is
+        not kept.
+        """
         if not self.data:
             self.read()
         count = 0
@@ -206,16 +219,18 @@
                 record.pop(REMAINING_KEY, None)
                 load(record, body)
                 count += 1
-            # whatever it is: danger, one record that can't be read would keep the relay from its start
+            # any exception: otherwise one bad record would keep the relay from starting
             except Exception:
-                self.unusable_records += (
-                    1  # whole, but of no use here: what follows it still counts
-                )
+                # the record is whole, but can't be used here: what follows it still counts
+                self.unusable_records += 1
         self.data = b""
         return count
 
     def repair_end(self) -> bool:
-        """Has the log end with its last whole record, or with a filler behind it; whether that is so now."""
+        """Makes the log end with its last whole record, or with a filler after it.
+
+        Returns whether it now does.
+        """
         if not self.tail_bytes:
             return True
         try:
@@ -239,7 +254,7 @@
         return True
 
     def append(self, rows) -> bool:
-        """Writes (record, body) rows, all or none; False if the file would not take them."""
+        """Appends (record, body) rows, all or none; False if the file did not take them."""
         data = encode_append(rows)
         self.append_failed = True
         self.is_full = self.size + len(data) + BLOCK_SIZE > self.max_bytes
@@ -256,8 +271,12 @@
         return write_all(self.disk, fd, data)
 
     def needs_rewrite(self) -> bool:
-        """After a failure, or past 9/20 of the room, which leaves room beside it for what is owed, 7/20 at most;
-        then not again before a sixteenth has come in."""
+        """Whether the log should be rewritten now.
+
+        It should after a failed append, or past 9/20 of `max_bytes`, which leaves enough room
+        beside it for the pending state, 7/20 at most; after that not before another sixteenth of
+        `max_bytes` has been written.
+        """
         return (
             self.append_failed
             or self.size > self.max_bytes * 9 // 20
@@ -265,7 +284,10 @@
         )
 
     def rewrite(self, rows) -> bool:
-        """A new log with these rows in place of the old one; on failure the old one stays as it is."""
+        """Replaces the log by a new one with these rows.
+
+        Returns False on failure; the old log then stays as it is.
+        """
         data = b"".join(encode(record, body) for record, body in rows)
         if self.size + len(data) + 2 * BLOCK_SIZE > self.max_bytes:
             return False
@@ -280,7 +302,8 @@
             except OSError:
                 pass
             return False
-        # Danger: a failing close of the old file must not leave the new one unused: what is written to the old one is lost.
+        # The new file is in use before the old one is closed: if that close failed first, later
+        # records would go to the old file, which has no name any more, and would be lost.
         old, self.fd = self.fd, fd
         self.size = self.live_bytes = len(data)
         self.tail_bytes, self.append_failed = 0, False
@@ -288,7 +311,10 @@
         return True
 
     def _rename_new_log(self, fd: int) -> bool:
-        """Danger: a rename that reports a failure may have been done all the same."""
+        """Renames the new log over the old one; returns whether the new one is in place.
+
+        A rename that reports a failure may have been done all the same.
+        """
         try:
             self.disk.rename(self.new_path, self.path)
         except OSError:
@@ -302,10 +328,13 @@
         try:
             self.disk.close(fd)
         except OSError:
-            pass  # Linux frees the descriptor all the same
+            pass  # Linux frees the file descriptor all the same
 
     def close(self) -> None:
-        """Nothing is written any more: its descriptor's number may be another file's from here on."""
+        """Closes the log; nothing is written any more.
+
+        The number of its file descriptor may belong to another file from here on.
+        """
         if self.fd >= 0:
             self._close_file(self.fd)
             self.fd = -1
