--- a/molehill/storage/codec.py
+++ b/molehill/storage/codec.py
@@ -1,6 +1,7 @@
-"""A record's fields and body as a payload, by the version that a segment names. Pure.
+"""Encodes a record's fields and body as a payload, in the version that a segment names. Pure.
 
-A version is never changed once a release wrote it; another form gets a number of its own, and all stay readable.
+A version is never changed once a release has written it. A new format gets a new number, and all
+versions stay readable.
 """
 
 import json
@@ -15,13 +16,13 @@
 
 
 class CodecError(Exception):
-    """A payload that its version does not read, or a version that is not known here; the text says which."""
+    """Raised for a payload that its version can't read, or for an unknown version."""
 
 
 def _split_line(payload: bytes):
     line, separator, body = payload.partition(b"\n")
     if not separator:
-        raise ValueError("no end of the fields")
+        raise ValueError("no line end after the fields")
     return line, body
 
 
@@ -35,7 +36,8 @@
     return _decode_json(line), body
 
 
-# version -> (fields and body to a payload, and back): 1 the log's form before segments, 2 the same by msgspec, 3 MessagePack
+# version -> (encoder of fields and body, decoder). 1: the log's format before segments; 2: the same
+# by msgspec; 3: MessagePack.
 VERSIONS = {
     1: (
         lambda fields, body: json.dumps(fields, separators=(",", ":")).encode("ascii")
@@ -52,20 +54,18 @@
 
 
 def encode(version: int, fields: dict, body: bytes = b"") -> bytes:
-    """KeyError for a version that is not in VERSIONS."""
+    """Returns the payload. Raises KeyError for a version that is not in VERSIONS."""
     return VERSIONS[version][0](fields, body)
 
 
 def decode(version: int, payload: bytes) -> tuple[dict, bytes]:
-    """(fields, body); CodecError for what can't be read, whatever it holds."""
+    """Returns (fields, body). Raises CodecError for whatever can't be read."""
     if version not in VERSIONS:
-        raise CodecError(
-            f"version {version} of the records is not known here; known are {sorted(VERSIONS)}"
-        )
+        raise CodecError(f"unknown record version {version}; known versions: {sorted(VERSIONS)}")
     try:
         fields, body = VERSIONS[version][1](payload)
     except (ValueError, TypeError, RecursionError, msgspec.DecodeError) as error:
-        raise CodecError(f"a record of version {version} that can't be read: {error}") from None
+        raise CodecError(f"can't decode a record of version {version}: {error}") from None
     if type(fields) is not dict or type(body) is not bytes:
-        raise CodecError(f"a record of version {version} that is no fields and body")
+        raise CodecError(f"a record of version {version} is not a pair of fields and body")
     return fields, body
--- a/molehill/storage/drive.py
+++ b/molehill/storage/drive.py
@@ -1,12 +1,16 @@
-"""Drives a Space as an engine would, in memory: for tests and measurements of what it decides."""
+"""Drives a `Space` in memory as a storage engine would, for tests and measurements."""
 
 from molehill.storage.space import Space
 
-HEADER_SIZE = 40  # bytes of a segment's head
+HEADER_SIZE = 40  # bytes of a segment's header
 
 
 class SpaceSimulator:
-    """Rolls, writes, moves, unlinks. Counts bytes asked for and written, and the most states moved after one append."""
+    """Adds segments, writes, moves states and removes segments as a `Space` decides.
+
+    Counts the bytes requested (`appended`) and written (`written`), and the most states moved after
+    one append (`most_moved`).
+    """
 
     def __init__(self, max_bytes, segment_size):
         self.space, self.last_segment, self.appended, self.written, self.most_moved = (
@@ -18,14 +22,19 @@
         )
 
     def write(self, length, callback_id=None):
+        """Writes `length` bytes to the open segment, or to a new one if they don't fit."""
         if not self.space.fits(length):
             self.last_segment += 1
             self.space.add_segment(self.last_segment, HEADER_SIZE)
         self.space.add_bytes(length, callback_id)
         self.written += length
-        assert self.space.used_bytes <= self.space.max_bytes, "the room is used up"
+        assert self.space.used_bytes <= self.space.max_bytes, "the space is used up"
 
     def append(self, length, callback_id=None, state=None):
+        """Appends `length` bytes, then moves states and removes empty segments.
+
+        `state`: given if the bytes are a callback's whole state; bytes that may yet follow it.
+        """
         self.write(length, callback_id)
         self.appended += length
         if state:
--- a/molehill/storage/records.py
+++ b/molehill/storage/records.py
@@ -1,9 +1,11 @@
-"""Records in a segment's bytes: whole ones are found again behind whatever was spoilt or torn. Pure; no files.
-
-A record is a mark, its length, its sequence number, a CRC-32C of these and one that goes on over the payload, then the payload.
-The checksums begin with the segment's salt, which no client knows: so a payload that holds the bytes of a record is never read as
-one, not even when the head before it is spoilt. The head has its own, so that bytes made to look like many heads of long records
-cost a search no more than their count.
+"""Packs records into a segment's bytes, and finds whole ones again after corrupt or torn bytes.
+
+A record is a magic number, the payload's length, a sequence number, a CRC-32C of length and
+sequence number, one that continues over the payload, and then the payload. The checksums begin with
+the segment's salt, which no client knows: so a payload that contains the bytes of a record is never
+read as one, not even if the header before it is corrupt. The header has a checksum of its own, so
+that bytes made to look like many headers of long records cost a scan no more than their number.
+The module is pure and touches no files.
 """
 
 import struct
@@ -11,32 +13,34 @@
 
 import google_crc32c
 
-# no text in UTF-8 and no small number in MessagePack begins so
+# no UTF-8 text and no small number in MessagePack begins with these bytes
 MAGIC = b"\xf1mh\x9c"
-# mark, length of the payload, sequence number, checksums of these and of all
+# magic, payload length, sequence number, checksum of these two, checksum including the payload
 HEADER = struct.Struct(">4sIQII")
-# bytes of a payload: far over what any front takes; a length beyond it is spoilt
+# bytes of a payload: far more than the relay accepts from a client; a greater length is corrupt
 MAX_PAYLOAD = 1 << 24
-SALT_SIZE = 8  # bytes: as likely guessed as a checksum of 64 bits
+SALT_SIZE = 8  # bytes: as hard to guess as a 64-bit checksum
 
 
 class Record(NamedTuple):
+    """A whole record of a segment."""
+
     offset: int  # where it begins in the segment
     sequence: int
     payload: bytes
 
 
 class Gap(NamedTuple):
-    """Bytes that are no whole record: spoilt, or torn if nothing whole follows."""
+    """Bytes that are no whole record: corrupt, or torn if no whole record follows."""
 
     offset: int
     length: int
 
 
 def pack(salt: bytes, sequence: int, payload: bytes) -> bytes:
-    """A record's bytes; ValueError for a payload over MOST."""
+    """Returns a record's bytes. Raises ValueError for a payload longer than MAX_PAYLOAD."""
     if len(payload) > MAX_PAYLOAD:
-        raise ValueError(f"a payload of {len(payload)} bytes, {MAX_PAYLOAD} at most")
+        raise ValueError(f"payload of {len(payload)} bytes; the limit is {MAX_PAYLOAD} bytes")
     header_checksum = _header_checksum(salt, len(payload), sequence)
     return (
         HEADER.pack(
@@ -55,7 +59,7 @@
 
 
 def _record_at(data: bytes, offset: int, salt: bytes):
-    """The record that begins there, or None."""
+    """Returns the whole record that begins at `offset`, or None."""
     if offset + HEADER.size > len(data):
         return None
     magic, length, sequence, header_checksum, checksum = HEADER.unpack_from(data, offset)
@@ -76,7 +80,7 @@
 
 
 def scan(data: bytes, salt: bytes, offset: int = 0) -> Iterator[Union[Record, Gap]]:
-    """All whole records from there on, in order, and between them what is spoilt."""
+    """Yields all whole records from `offset` on, in order, and the gaps between them."""
     gap_start = offset
     while offset < len(data):
         record = _record_at(data, offset, salt)
--- a/molehill/storage/space.py
+++ b/molehill/storage/space.py
@@ -1,62 +1,78 @@
-"""Which segments stand, what of each is still owed, how much to move forward now, and whether a newcomer fits. Pure.
+"""Accounts for the space of a segmented log: what to move, what to remove, what still fits. Pure.
 
-Segments are in the order of their numbers. A callback's whole state lies in one of them; what is written of it later lies there or
-behind. So a segment that is the oldest and holds no state that is still owed can go at once, and the room that is free comes from
-moving states out of the oldest, a piece a turn.
+Segments are in the order of their numbers. A callback's whole state is in one of them; what is
+written about it later is in the same segment or a later one. So the oldest segment can be removed
+at once if it holds no live state. Space is freed by moving states out of the oldest segment, some
+after each append.
 """
 
 from collections import OrderedDict
 
-BLOCK_SIZE = 512  # files count in whole blocks of so many bytes
-# Share of the room that states and what they may yet write can take. At three quarters, a full round over the log writes three
-# bytes for each that it frees; at more, twice that and over for the last eighth.
+BLOCK_SIZE = 512  # bytes; files are counted in whole blocks
+# Share of the space for states and what may yet be written about them. At three quarters, a full
+# round over the log writes three bytes for each byte that it frees; a greater share costs more than
+# twice as much for the last eighth.
 STATE_SHARE = 3 / 4
 
 
 def round_to_blocks(size: int) -> int:
+    """Rounds a size in bytes up to whole blocks."""
     return -(-size // BLOCK_SIZE) * BLOCK_SIZE
 
 
 class Segment:
+    """One segment: its number, its size in bytes and the live states in it."""
+
     __slots__ = ("number", "size", "states")
 
     def __init__(self, number: int, size: int):
         self.number, self.size = number, size
-        # id -> bytes of its state here, the first written first
+        # callback id -> bytes of its state here, in the order written
         self.states: OrderedDict[str, int] = OrderedDict()
 
 
 class Space:
-    """`max_bytes`: bytes that all segments may take, in whole blocks; `segment_size`: bytes of one. ValueError if `max_bytes` holds under eight."""
+    """The space that all segments share.
+
+    `max_bytes`: bytes that all segments may take, in whole blocks. `segment_size`: bytes of one
+    segment. Raises ValueError if `max_bytes` holds fewer than eight segments.
+    """
 
     def __init__(self, max_bytes: int, segment_size: int):
         if max_bytes < 8 * round_to_blocks(segment_size):
-            raise ValueError(f"{max_bytes} bytes hold no eight segments of {segment_size}")
+            raise ValueError(f"{max_bytes} bytes hold fewer than eight segments of {segment_size}")
         self.max_bytes, self.segment_size = max_bytes, segment_size
         self.segments: OrderedDict[int, Segment] = OrderedDict()
-        self.locations: dict[str, Segment] = {}  # id -> where its state lies
-        self.reserved: dict[str, int] = {}  # id -> bytes that it may yet write
-        # bytes in blocks; of states; that may yet come
+        self.locations: dict[str, Segment] = {}  # callback id -> segment of its state
+        self.reserved: dict[str, int] = {}  # id -> bytes that may yet be written about it
+        # bytes of all files, in blocks; of live states; that may yet be written about them
         self.used_bytes = self.live_bytes = self.reserved_bytes = 0
-        # bytes to be moved that were not a whole state's yet
+        # bytes due to be moved that did not yet make up a whole state
         self.bytes_to_move = 0.0
 
-    # What was written
+    # Accounting of what was written
 
     def add_segment(self, number: int, size: int) -> None:
-        """A new segment stands, with a head of `size` bytes; all that is written from now on goes there."""
+        """Adds a segment with a header of `size` bytes; it is the open one from now on."""
         self.segments[number] = Segment(number, size)
         self.used_bytes += round_to_blocks(size)
 
     def open_segment(self) -> Segment:
+        """Returns the newest segment, to which everything is written."""
         return next(reversed(self.segments.values()))
 
     def fits(self, length: int) -> bool:
-        """Whether the open segment takes so much more. What is longer than a segment has one to itself."""
+        """Whether `length` more bytes fit into the open segment.
+
+        What is longer than a segment gets one of its own.
+        """
         return bool(self.segments) and self.open_segment().size + length <= self.segment_size
 
     def add_bytes(self, length: int, callback_id=None) -> None:
-        """So many bytes went to the open segment, out of what `callback_id` may write if one is named."""
+        """Counts bytes written to the open segment.
+
+        If `callback_id` is given, they are taken from the bytes reserved for it.
+        """
         segment = self.open_segment()
         self.used_bytes += round_to_blocks(segment.size + length) - round_to_blocks(segment.size)
         segment.size += length
@@ -66,7 +82,10 @@
             self.reserved[callback_id] = left
 
     def add_state(self, callback_id: str, length: int, may_write: int) -> None:
-        """The whole state of a callback lies in the open segment from now on; `may_write`: bytes that may yet come of it."""
+        """Records that the open segment now has the whole state of a callback.
+
+        `may_write`: bytes that may yet be written about it.
+        """
         self.remove_state(callback_id)
         segment = self.open_segment()
         segment.states[callback_id], self.locations[callback_id], self.reserved[callback_id] = (
@@ -80,27 +99,27 @@
         )
 
     def remove_state(self, callback_id: str) -> None:
-        """Nothing is owed of it any more, or its state has moved. One that is not known is passed over."""
+        """Forgets a state that is no longer needed, or was moved; an unknown id is ignored."""
         segment = self.locations.pop(callback_id, None)
         if segment is not None:
             self.live_bytes -= segment.states.pop(callback_id)
             self.reserved_bytes -= self.reserved.pop(callback_id)
 
     def remove_segment(self, number: int) -> None:
-        """The file of that segment is gone."""
+        """Records that the file of that segment has been removed."""
         self.used_bytes -= round_to_blocks(self.segments.pop(number).size)
 
-    # What to do
+    # Decisions
 
     def can_admit(self, length: int, may_write: int) -> bool:
-        """Whether a newcomer fits, with all that it may write: else it has to be refused."""
+        """Whether a new callback fits with all that may be written about it; else it is refused."""
         return (
             self.live_bytes + self.reserved_bytes + length + may_write
             <= self.max_bytes * STATE_SHARE - self.segment_size
         )
 
     def empty_segments(self) -> list[int]:
-        """The segments that can go now: the oldest ones that hold nothing owed, never the open one."""
+        """Returns the segments to remove now: the oldest without live states, not the open one."""
         result = []
         for segment in self.segments.values():
             if segment.states or segment is self.open_segment():
@@ -109,10 +128,11 @@
         return result
 
     def states_to_move(self, appended: int) -> list[str]:
-        """The callbacks whose states are to be written anew now, after so many bytes were appended.
+        """Returns the callbacks whose states are to be moved after `appended` bytes were appended.
 
-        As many bytes for each that was appended as states weigh against the free room: so before the room is used up, all
-        states have been moved once, and all that is not owed has gone. With much room free that is next to nothing.
+        For each appended byte, live bytes divided by free bytes are moved: so before the space is
+        used up, all states have been moved once, and everything that is not live is gone. With much
+        space free, almost nothing is moved.
         """
         free = max(self.max_bytes - self.used_bytes - self.segment_size, BLOCK_SIZE)
         oldest, result = next(iter(self.segments.values()), None), []
