--- a/molehill/core/classes.py
+++ b/molehill/core/classes.py
@@ -77,5 +77,5 @@
             name, definition = self.logged_classes[number]
             return self.assign_number(name, definition, range(len(self.definitions)))
         if not 0 <= number < len(self.definitions):
-            raise KeyError(f"category {number}")  # the record can't be used
+            raise KeyError(f"class {number}")  # the record can't be used
         return number
