--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -1,4 +1,4 @@
-"""A world around one relay: it plays what it is told and checks the six rules after every batch."""
+"""Harnesses that play everything around one relay, and check its six rules after every step."""
 
 import socket
 
@@ -61,12 +61,15 @@
 
 
 def first_endpoint(module):
-    """What the decision module keeps of the host that it was told of first."""
+    """Returns the decision module's state of the first host that it was given."""
     return next(iter(module.state.endpoints.values()))
 
 
 class DecisionHarness:
-    """Hosts are (id, zone, kind, destination)."""
+    """Plays clients, hosts and time around a decision module, and checks the rules.
+
+    `hosts`: (id, zone, kind, destination) of each.
+    """
 
     def __init__(self, given, hosts=((1, 0, 0, 1), (2, 1, 0, 1)), seed=7):
         self.settings, self.host_rows = given, {h[0]: h for h in hosts}
@@ -74,7 +77,7 @@
         self.start([interface.HostEntry(*h, interface.Condition.UP, 1.0) for h in hosts])
 
     def start(self, entries):
-        """A relay killed and started anew knows nothing but its list."""
+        """Starts a new module; after a kill and a restart it knows only the list of hosts."""
         self.dispatcher = Dispatcher(self.settings, self.seed)
         (
             self.open_callbacks,
@@ -115,7 +118,7 @@
         return self.last_number
 
     def outcome(self, number, result, wait=0, told=(0.0, None)):
-        """The outcome of the launch that a callback has out."""
+        """Returns the outcome of a callback's attempt in flight, which ends with it."""
         host, sent, _ = self.in_flight.pop(number)
         entry = self.open_callbacks.get(number)
         if result in MAY_HAVE_RUN and entry is not None:
@@ -156,7 +159,7 @@
         self.step([self.outcome(number, result, wait, told)])
 
     def advance(self, span):
-        """Time passes; launches past their time-out end in silence, and the relay's own timers ring."""
+        """Lets time pass: attempts past their timeout end unanswered, and timers expire."""
         until = self.now + span
         while self.now < until:
             nexts = [end for _, _, end in self.in_flight.values()] + [self.wake or until]
@@ -208,7 +211,7 @@
         number, host, now = action.callback, action.host, self.now
         assert (
             number in self.open_callbacks and number not in self.in_flight
-        ), "rules 1, 2: open, and none out"
+        ), "rules 1, 2: pending, and no attempt in flight"
         entry = self.open_callbacks[number]
         row = entry["row"]
         assert (
@@ -220,29 +223,33 @@
             sent, zone = entry["bound"]
             assert (
                 row.semantics is not interface.DeliverySemantics.AT_MOST_ONCE
-            ), "rule 2: an exclusive callback that may have run"
+            ), "rule 2: an at-most-once callback that may have run"
             if row.semantics is interface.DeliverySemantics.DEDUPLICATED:
                 assert now <= sent + row.deduplication_window, "rule 2: a repeat after the window"
                 assert (
                     row.deduplicated_everywhere or self.host_rows[host][1] == zone
                 ), "rule 2: a repeat out of scope"
-        assert self.is_up.get(host), "rule 3: new work for a host that drains or is gone"
+        assert self.is_up.get(host), "rule 3: a new call to a host that is draining or gone"
         if (
             self.failures.get(host, 0) >= 4
             and self.settings.kinds[self.host_rows[host][2]].callbacks_per_call == 1
         ):
-            trials = [
+            probes = [
                 h
                 for h, sent, _ in self.in_flight.values()
                 if h == host and sent >= self.ejected_at[host]
             ]
-            assert not trials, "rule 4: one trial at a time"
-        assert self.retry_times.get(self.route(host), 0) <= now, "rule 6: a told wait"
+            assert not probes, "rule 4: one probe at a time"
+        assert (
+            self.retry_times.get(self.route(host), 0) <= now
+        ), "rule 6: a call before the Retry-After is over"
         if entry["key"]:
-            assert self.cooldowns.get(entry["key"], 0) <= now, "rule 5: a key that rests"
+            assert (
+                self.cooldowns.get(entry["key"], 0) <= now
+            ), "rule 5: a call during the key's cooldown"
             ended = [(n, self.completed[n]) for n in self.in_flight if n in self.completed]
             for other, earlier in list(self.open_callbacks.items()) + ended:
-                assert other >= number or earlier["key"] != entry["key"], "rule 5: out of turn"
+                assert other >= number or earlier["key"] != entry["key"], "rule 5: out of order"
         entry["attempts"].append(host)
         self.in_flight[number] = (host, now, min(now + action.timeout, entry["deadline"]))
         self.sent.append((now, host))
@@ -250,7 +257,7 @@
     def on_reject(self, action):
         entry = self.open_callbacks[action.callback]
         row = entry["row"]
-        assert action.callback not in self.in_flight, "rule 2: denied with a launch out"
+        assert action.callback not in self.in_flight, "rule 2: rejected with an attempt in flight"
         assert (
             "bound" not in entry
             or row.semantics is interface.DeliverySemantics.IDEMPOTENT
@@ -258,7 +265,7 @@
                 row.semantics is interface.DeliverySemantics.DEDUPLICATED
                 and row.deduplicated_everywhere
             )
-        ), "rule 2: denied though it may have run"
+        ), "rule 2: rejected though it may have run"
         self.completed[action.callback] = self.open_callbacks.pop(action.callback)
 
     def on_fail(self, action):
@@ -266,7 +273,7 @@
 
 
 class ManualClock:
-    """A clock that is moved by hand."""
+    """A clock that tests set by hand, in nanoseconds."""
 
     def __init__(self, now=1000 * SECOND):
         self.now = now
@@ -276,9 +283,9 @@
 
 
 class CoreHarness:
-    """Carries out the core's effects against a real log and checks the rules as seen from outside.
+    """Carries out the core's effects with a real log, and checks the rules as seen from outside.
 
-    A kill may fall between any two effects; the next process reads the log and nothing else.
+    A kill may come between any two effects; the next process reads only the log.
     """
 
     def __init__(self, folder, given, hosts, make_module=Dispatcher, max_bytes=400_000):
@@ -308,7 +315,7 @@
             [],
         )
         self.maybe_acknowledged, self.counted_ends = set(), {}
-        # slow: connections do not come up by themselves
+        # connects_slowly: connections don't come up by themselves
         self.process_number, self.sent, self.last_logged_ids, self.connects_slowly = (
             0,
             {},
@@ -330,16 +337,19 @@
             self.process_number + 1,
             set(),
         )
-        # callback -> how it ended in this life, None: in an earlier one, and the log says so
+        # callback -> how it ended in this process; None: in an earlier one, as the log tells
         self.counted_ends = {i: None for i in self.ended if i not in self.core.callbacks}
         self.post(ev.HostListReceived(interface.ListScope.RESTORED, list(self.hosts.values())))
         self.post(ev.Startup())
         self.step()
 
     def kill(self):
-        """Nothing that is left of the effects is carried out; calls that are out may have run."""
+        """Kills the process and starts the next one.
+
+        The remaining effects are not carried out; calls in flight may have run.
+        """
         self.queue, self.notices, self.core = [], {}, None
-        # logged: it can't know who heard
+        # logged: the next process can't know which clients were answered
         self.maybe_acknowledged |= {r["id"] for r in self.read_records() if r["k"] == "taken"}
         self.first_run_at.update(
             {
@@ -374,7 +384,7 @@
         self.check_metrics()
 
     def check_metrics(self):
-        """The figures against what was seen from outside in this life."""
+        """Checks the metrics against what was seen from outside during this process."""
         ends = list(self.counted_ends.values())
         for name in ("fulfilled", "throttled", "faulted"):
             assert sum(row[name] for row in self.core.metrics.end_counts.values()) == ends.count(
@@ -421,19 +431,21 @@
         return number
 
     def connection_up(self, number):
-        """Its connection is up: from here on its bytes may be at the host."""
+        """Marks a call's connection as up: from here on its bytes may be at the host."""
         members = self.in_flight[number][1]
         assert self.last_logged_ids == [
             m.id for m in members
-        ], "a launch is logged before its bytes go"
+        ], "an attempt is logged before its bytes are sent"
         self.sent.update({m.id: self.now for m in members})
         self.connected.add(number)
 
     def end_call(self, number, result, wait=0, ids=None, **more):
         if number not in self.connected and result not in (Result.NO_CONNECT, Result.NOT_SENT):
-            life = self.process_number
+            process_number = self.process_number
             self.post(ev.CallConnected(number))
-            if life != self.process_number:  # killed as it was logged: that call is no more
+            if (
+                process_number != self.process_number
+            ):  # killed while it was logged: the call is gone
                 return
         call, members = self.in_flight[number]
         ids = [m.id for m in members] if ids is None else ids
@@ -461,7 +473,7 @@
         assert self.store.append([(effect.record, effect.body)])
         if effect.record["k"] == "launch":
             self.last_logged_ids = effect.record["ids"]
-        # killed before that, it may be delivered once more where a repeat is harmless
+        # killed before this, it may be delivered again if a repeat is harmless
         if effect.record["k"] == "end":
             for i in [i for i, _, over, _ in effect.record["ends"] if over]:
                 self.ended.setdefault(i, "fulfilled")
@@ -477,7 +489,7 @@
         assert (
             any(r["k"] == "taken" and r["id"] == effect.id for r in self.read_records())
             or effect.id in self.ended
-        ), "taken on before it is in the log"
+        ), "accepted before it is in the log"
         if effect.id in self.gone_clients:
             self.queue.append(ev.AnswerNotWritten(effect.id, effect.client))
         else:
@@ -498,11 +510,11 @@
             row, key, due, order = self.submitted[m.id]
             assert (
                 m.id in self.acknowledged or m.id in self.maybe_acknowledged
-            ), "nothing is sent before its client heard"
+            ), "nothing is sent before its client was answered"
             assert m.id not in self.ended and m.deadline <= due, "rule 1: sent after its end"
             assert all(
                 m.id != o.id for _, ms in self.in_flight.values() for o in ms
-            ), "rule 2: two at once"
+            ), "rule 2: two attempts at once"
             if m.id in self.first_run_at:
                 assert row.semantics is not interface.DeliverySemantics.AT_MOST_ONCE, "rule 2"
                 assert (
@@ -516,10 +528,12 @@
                     and its_order < order
                     and other in self.acknowledged
                 ):
-                    assert other in self.ended, "rule 5: an earlier one of its key is not over"
+                    assert (
+                        other in self.ended
+                    ), "rule 5: an earlier callback of its key has not ended"
                     assert all(
                         other != o.id for _, ms in self.in_flight.values() for o in ms
-                    ), "rule 5: it is still out"
+                    ), "rule 5: an earlier callback of its key is still in flight"
         self.in_flight[effect.number] = (effect, list(effect.callbacks))
         if not self.connects_slowly:
             self.queue.append(ev.CallConnected(effect.number))
@@ -557,7 +571,7 @@
 
 
 class NetHarness:
-    """A scheduler on a clock moved by hand, and connections that are socket pairs."""
+    """A scheduler on a manual clock, with socket pairs as connections."""
 
     def __init__(self, sockets=50):
         self.clock = ManualClock()
@@ -571,7 +585,7 @@
         self.events.append(event)
 
     def settle(self, rounds=30):
-        """Runs all that can run without time passing."""
+        """Runs every task that can run without time passing."""
         for _ in range(rounds):
             self.scheduler.run_once(block=False)
 
@@ -582,14 +596,18 @@
             self.settle(4)
 
     def pair(self, kind="host", make=HttpStream, **how):
-        """A stream of the relay's and the other party's end."""
+        """Returns a stream of the relay, and the socket of the other party."""
         ours, theirs = socket.socketpair()
         theirs.setblocking(False)
         assert self.budget.acquire(kind)
         return make(self.scheduler, ours, kind, self.budget, **how), theirs
 
     def intercept_connections(self, monkeypatch):
-        """Has new connections made as pairs; gives the other ends, and a list of refusals to play."""
+        """Replaces new connections by socket pairs.
+
+        Returns the list of the other ends, and a list to put errors into, which the next attempts
+        to connect raise.
+        """
         made, refusals = [], []
 
         def opened(scheduler, address, kind, budget, make, spare=0):
@@ -605,7 +623,7 @@
 
 
 def drain(sock):
-    """All that lies unread; None once the stream has ended with nothing before it."""
+    """Reads what has arrived; returns None if the stream has ended and nothing was left."""
     data = b""
     try:
         while piece := sock.recv(65536):
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The reducer with its log: taking on, restarts at any moment, order, waits, and what a fault leaves."""
+"""Tests of the reducer with its log: acceptance, restarts at any time, order, waits and faults."""
 
 import tempfile
 
@@ -28,6 +28,7 @@
 
 
 def effects_of(core, now, *events):
+    """Applies events at time `now`, and returns their effects in one list."""
     return [effect for event in events for effect in core.reduce(now, event)]
 
 
@@ -49,8 +50,9 @@
     )
 
 
-def bare_core(room=100_000, **given):
-    core = Core(settings(**given), 1, Dispatcher, room)
+def bare_core(log_capacity=100_000, **given):
+    """Returns a started core with one host, and no log."""
+    core = Core(settings(**given), 1, Dispatcher, log_capacity)
     effects_of(
         core,
         1000 * SECOND,
@@ -71,81 +73,87 @@
     assert first[0].record["k"] == "taken" and first[1].status == 202
     then = effects_of(core, now, ev.AnswerWritten("a", "c"))
     assert [type(e) for e in then] == [ev.Call]
-    begun = effects_of(core, now, ev.CallConnected(then[0].number))
-    assert [(type(e), e.record["k"]) for e in begun] == [(ev.Append, "launch")] and not effects_of(
+    logged = effects_of(core, now, ev.CallConnected(then[0].number))
+    assert [(type(e), e.record["k"]) for e in logged] == [(ev.Append, "launch")] and not effects_of(
         core, now, ev.CallConnected(then[0].number)
     )
 
 
 def test_copy_of_refused_request_stays_refused():
-    """Danger: it has its final answer, and room has come meanwhile."""
-    core, now = bare_core(room=1000), 1001 * SECOND
+    """Guards against accepting a copy of a request that was refused, once there is room again."""
+    core, now = bare_core(log_capacity=1000), 1001 * SECOND
 
-    def handed_in(number, **given):
+    def submit_statuses(number, **given):
         effects = effects_of(core, now, ev.Submitted("c", submission(number, **given)), ev.Step())
         return [effect.status for effect in effects if type(effect) is ev.Answer]
 
-    assert handed_in("a") == [202] and handed_in("b") == [503]
+    assert submit_statuses("a") == [202] and submit_statuses("b") == [503]
     effects_of(core, now, ev.AnswerNotWritten("a", "c"))
-    assert handed_in("b") == [503] and "b" not in core.callbacks
-    assert handed_in("b", body=b"another's") == [202]
+    assert submit_statuses("b") == [503] and "b" not in core.callbacks
+    assert submit_statuses("b", body=b"another's") == [202]
 
 
 def test_class_survives_new_settings_and_restarts(
     tmp_path,
 ):
-    """Danger: one that is held comes to bear another's row when classes appear, vanish or change under its name."""
+    """Guards against a pending callback getting the definition of another class.
+
+    It could when classes appear, vanish, or change under the same name.
+    """
     original, strict = callback_class(abandon=60_000), callback_class(abandon=61_000)
-    world = make_harness(tmp_path, callback_classes=[original])
-    first = world.submit()
-    # the name means something else, then again, beside one that vanishes
+    harness = make_harness(tmp_path, callback_classes=[original])
+    first = harness.submit()
+    # the name gets a new definition, beside a class that vanishes each time
     for n in range(40):
         rows = [strict, callback_class("ticketed", abandon=5000 + n)]
-        world.post(
+        harness.post(
             ev.SettingsChanged(
                 settings(kinds=KINDS, list_on_request=True, callback_classes=rows), ["0", "later"]
             )
         )
-        world.step()
+        harness.step()
         if n == 20:
-            world.settings.callback_classes = [original, strict]
-            second = world.submit(cat=world.core.classes.numbers["0"])
-            world.kill()
-    assert len(world.core.classes.definitions) <= 5
+            harness.settings.callback_classes = [original, strict]
+            second = harness.submit(cat=harness.core.classes.numbers["0"])
+            harness.kill()
+    assert len(harness.core.classes.definitions) <= 5
     rows = [
-        world.core.classes.definitions[world.core.callbacks[i].callback_class]
+        harness.core.classes.definitions[harness.core.callbacks[i].callback_class]
         for i in (first, second)
     ]
     assert (
         rows == [original, strict]
-        and [world.core.module.state.callbacks_by_id[i].callback_class for i in (first, second)]
+        and [harness.core.module.state.callbacks_by_id[i].callback_class for i in (first, second)]
         == rows
     )
-    assert world.store.rewrite(world.core.snapshot())
-    # as the file of the next start has it
-    world.settings = settings(kinds=KINDS, list_on_request=True, callback_classes=[strict])
-    world.kill()
+    assert harness.store.rewrite(harness.core.snapshot())
+    # the settings file of the next start
+    harness.settings = settings(kinds=KINDS, list_on_request=True, callback_classes=[strict])
+    harness.kill()
     assert [
-        world.core.classes.definitions[world.core.callbacks[i].callback_class]
+        harness.core.classes.definitions[harness.core.callbacks[i].callback_class]
         for i in (first, second)
     ] == [
         original,
         strict,
     ]
-    assert set(world.core.metrics.end_counts) == {
+    assert set(harness.core.metrics.end_counts) == {
         "0"
-    }, "the one that vanished has no row in the next process"
+    }, "a class that vanished has no counts in the next process"
 
 
 def test_lower_attempt_limit_ends_callback(tmp_path):
-    world = make_harness(tmp_path, hosts=HOSTS[:1])
-    number = world.submit()
-    world.end_call(next(iter(world.in_flight)), Result.ERROR)
-    world.post(
+    harness = make_harness(tmp_path, hosts=HOSTS[:1])
+    number = harness.submit()
+    harness.end_call(next(iter(harness.in_flight)), Result.ERROR)
+    harness.post(
         ev.SettingsChanged(settings(kinds=KINDS, list_on_request=True, max_attempts=1), ["0"])
     )
-    world.step()
-    assert list(world.notices) == [number] and number not in world.core.module.state.callbacks_by_id
+    harness.step()
+    assert (
+        list(harness.notices) == [number]
+        and number not in harness.core.module.state.callbacks_by_id
+    )
 
 
 def test_client_gone_before_answer_withdraws_callback():
@@ -204,7 +212,10 @@
 @pytest.mark.parametrize("restart", ["", "log", "rewritten"])
 @pytest.mark.parametrize("stage", STAGES)
 def test_id_reused_with_other_contents_is_refused(tmp_path, stage, restart):
-    """Danger: told "taken on" for what is not held, a client hands in its key's next too early, and its own is lost."""
+    """Guards against answering "accepted" for contents that the relay does not hold.
+
+    The client would submit the next callback of its key too early, and its own would be lost.
+    """
 
     def core_of(store):
         core = Core(
@@ -262,31 +273,37 @@
     )
     assert [e.status for e in effects if type(e) is ev.Answer and e.client == "d"] == [
         202
-    ], "the same once more: as ever"
+    ], "the same contents again are accepted"
     store.close()
 
 
 def test_completed_ids_survive_log_rewrites(tmp_path):
-    """Danger: a client whose connection broke sends its request once more after the restart, and it runs twice."""
-    world = make_harness(tmp_path, callback_classes=[callback_class("exclusive", abandon=60000)])
-    world.max_bytes = 40_000
-    world.kill()
+    """Guards against running a callback twice.
+
+    A client whose connection broke sends its request again after the restart.
+    """
+    harness = make_harness(tmp_path, callback_classes=[callback_class("exclusive", abandon=60000)])
+    harness.max_bytes = 40_000
+    harness.kill()
     for n in range(400):
-        number = world.submit()
-        world.end_call(next(iter(world.in_flight)), Result.DELIVERED)
-    assert world.store.rewrite(world.core.snapshot()) and world.store.size < world.max_bytes // 10
+        number = harness.submit()
+        harness.end_call(next(iter(harness.in_flight)), Result.DELIVERED)
+    assert (
+        harness.store.rewrite(harness.core.snapshot())
+        and harness.store.size < harness.max_bytes // 10
+    )
     for _ in range(2):
-        world.kill()
-        again = world.core.reduce(
-            world.now,
+        harness.kill()
+        again = harness.core.reduce(
+            harness.now,
             ev.Submitted(
-                "c", ev.Submission(number, 0, 0, None, 1, world.now + SECOND, None, b"body")
+                "c", ev.Submission(number, 0, 0, None, 1, harness.now + SECOND, None, b"body")
             ),
         )
         assert (
             [e.status for e in again] == [202]
-            and not world.core.callbacks
-            and len(world.core.recently_completed) >= 20
+            and not harness.core.callbacks
+            and len(harness.core.recently_completed) >= 20
         )
 
 
@@ -329,7 +346,7 @@
 
 
 @pytest.mark.parametrize(
-    "given,body", [(dict(max_pending=2), b"x"), (dict(room=5000), b"x" * 1500)]
+    "given,body", [(dict(max_pending=2), b"x"), (dict(log_capacity=5000), b"x" * 1500)]
 )
 def test_full_relay_or_log_refuses_requests(given, body):
     core, now = bare_core(**given), 1001 * SECOND
@@ -349,21 +366,21 @@
 
 
 def test_key_waits_for_notice_answer(tmp_path):
-    world = make_harness(tmp_path, callback_classes=[callback_class("exclusive", ordered=True)])
-    first, second = world.submit(key="k"), world.submit(key="k")
-    number = next(iter(world.in_flight))
-    world.end_call(number, Result.ERROR)
-    world.step()
-    assert list(world.notices) == [first] and not world.in_flight
-    assert not world.notices[
+    harness = make_harness(tmp_path, callback_classes=[callback_class("exclusive", ordered=True)])
+    first, second = harness.submit(key="k"), harness.submit(key="k")
+    number = next(iter(harness.in_flight))
+    harness.end_call(number, Result.ERROR)
+    harness.step()
+    assert list(harness.notices) == [first] and not harness.in_flight
+    assert not harness.notices[
         first
-    ].rejected, "it may have run: nothing says that a repeat is harmless"
-    assert world.store.rewrite(world.core.snapshot())
-    world.kill()
-    assert list(world.notices) == [first], "owed over a restart"
-    assert not world.in_flight, "the next of the key waits for the notice's answer"
-    world.answer_notices()
-    assert [m.id for _, members in world.in_flight.values() for m in members] == [second]
+    ].rejected, "it may have run: a rejection would say that a repeat is harmless"
+    assert harness.store.rewrite(harness.core.snapshot())
+    harness.kill()
+    assert list(harness.notices) == [first], "its notice is pending after a restart"
+    assert not harness.in_flight, "the next callback of the key waits for the notice's answer"
+    harness.answer_notices()
+    assert [m.id for _, members in harness.in_flight.values() for m in members] == [second]
 
 
 @pytest.mark.parametrize(
@@ -378,75 +395,84 @@
     ],
 )
 def test_restart_knows_whether_attempt_ran(tmp_path, effect, result, again):
-    world = make_harness(
+    harness = make_harness(
         tmp_path, callback_classes=[callback_class(effect, goal=19000, abandon=20000, window=9000)]
     )
-    number = world.submit()
+    number = harness.submit()
     if result is not None:
-        world.end_call(next(iter(world.in_flight)), result)
-    world.kill()
-    world.advance(3 * SECOND)
-    assert any(m.id == number for _, ms in world.in_flight.values() for m in ms) == again
-    assert (number in world.notices) != again
+        harness.end_call(next(iter(harness.in_flight)), result)
+    harness.kill()
+    harness.advance(3 * SECOND)
+    assert any(m.id == number for _, ms in harness.in_flight.values() for m in ms) == again
+    assert (number in harness.notices) != again
 
 
 @pytest.mark.parametrize("rewritten", [True, False])
 @pytest.mark.parametrize("effect", ["exclusive", "ticketed", "rerunnable"])
 def test_restart_retries_call_never_written(tmp_path, effect, rewritten):
-    """Danger: logged as out while its connection came up, one that must not run twice is given up though no host has seen it."""
-    world = make_harness(
+    """Guards against giving up a callback that must not run twice and that no host has seen.
+
+    It would be given up if its attempt were logged before the connection is up.
+    """
+    harness = make_harness(
         tmp_path, callback_classes=[callback_class(effect, goal=19000, abandon=20000, window=2000)]
     )
-    world.connects_slowly = True
-    number = world.submit()
-    assert world.in_flight and not world.connected
-    for lives in range(3):  # killed again before its work is done
-        assert not rewritten or world.store.rewrite(world.core.snapshot())
-        world.now += SECOND
-        world.kill()
-        assert [m.id for _, ms in world.in_flight.values() for m in ms] == [
+    harness.connects_slowly = True
+    number = harness.submit()
+    assert harness.in_flight and not harness.connected
+    for kill_number in range(3):  # killed again before the call ends
+        assert not rewritten or harness.store.rewrite(harness.core.snapshot())
+        harness.now += SECOND
+        harness.kill()
+        assert [m.id for _, ms in harness.in_flight.values() for m in ms] == [
             number
-        ] and not world.notices
+        ] and not harness.notices
         assert (
-            world.core.callbacks[number].attempts == 1
-            and world.core.callbacks[number].ran_at is None
+            harness.core.callbacks[number].attempts == 1
+            and harness.core.callbacks[number].ran_at is None
         )
-    world.end_call(next(iter(world.in_flight)), Result.NO_CONNECT)
-    world.kill()
-    assert world.core.callbacks[number].attempts == 1 + bool(
-        world.in_flight
-    ), "a connection that never came up is a launch that never ran"
+    harness.end_call(next(iter(harness.in_flight)), Result.NO_CONNECT)
+    harness.kill()
+    assert harness.core.callbacks[number].attempts == 1 + bool(
+        harness.in_flight
+    ), "an attempt whose connection never came up never ran"
 
 
 @pytest.mark.parametrize("hosts", [(), HOSTS[2:]])
 def test_restart_without_hosts_waits_for_list(tmp_path, hosts):
-    """Danger: discovery is down at the start, and what is owed is turned away for a destination that the file does not know yet."""
-    world = make_harness(tmp_path, callback_classes=[callback_class("exclusive", abandon=20000)])
-    world.connects_slowly = True
-    number = world.submit()
-    listed, world.hosts = world.hosts, {h[0]: world.hosts[h[0]] for h in hosts}
-    world.kill()
-    world.advance(5 * SECOND)
-    assert not world.notices and not world.in_flight
-    newcomer = world.submit()
-    assert world.answers[newcomer] == 503, "a new one is turned away as ever"
-    world.hosts = listed
-    world.post(ev.HostListReceived(interface.ListScope.WHOLE, list(listed.values())))
-    world.step()
-    assert [m.id for _, ms in world.in_flight.values() for m in ms] == [number]
-    world.hosts = {}
-    world.kill()
-    world.advance(16 * SECOND)
+    """Guards against rejecting pending callbacks while discovery is down at the start.
+
+    Their destination may not be in the file's list yet.
+    """
+    harness = make_harness(tmp_path, callback_classes=[callback_class("exclusive", abandon=20000)])
+    harness.connects_slowly = True
+    number = harness.submit()
+    listed, harness.hosts = harness.hosts, {h[0]: harness.hosts[h[0]] for h in hosts}
+    harness.kill()
+    harness.advance(5 * SECOND)
+    assert not harness.notices and not harness.in_flight
+    newcomer = harness.submit()
+    assert harness.answers[newcomer] == 503, "a new callback is rejected as usual"
+    harness.hosts = listed
+    harness.post(ev.HostListReceived(interface.ListScope.WHOLE, list(listed.values())))
+    harness.step()
+    assert [m.id for _, ms in harness.in_flight.values() for m in ms] == [number]
+    harness.hosts = {}
+    harness.kill()
+    harness.advance(16 * SECOND)
     assert (
-        list(world.notices) == [number] and not world.core.callbacks[number].body
-    ), "its time ends it all the same"
+        list(harness.notices) == [number] and not harness.core.callbacks[number].body
+    ), "it still ends at its deadline"
 
 
 def test_restart_backlog_precedes_new_callbacks(
     tmp_path,
 ):
-    """Danger: read back in one batch, a relay's backlog is over its room and its tenant's share at once, and is given up untried."""
-    world = make_harness(
+    """Guards against giving up a backlog untried after a restart.
+
+    Read back in one batch, it exceeds the relay's capacity and its tenant's share at once.
+    """
+    harness = make_harness(
         tmp_path,
         hosts=HOSTS[:1],
         max_pending=32,
@@ -455,27 +481,27 @@
         over_quota_value_factor=0.1,
         callback_classes=[callback_class("exclusive", abandon=60000)],
     )
-    world.connects_slowly = True
+    harness.connects_slowly = True
     held = []
     for _ in range(29):
-        held.append(world.submit())
-        world.now += SECOND  # just as many as its share allows
-    world.kill()
+        held.append(harness.submit())
+        harness.now += SECOND  # exactly the rate that its share allows
+    harness.kill()
     assert not any(
-        world.core.module.state.callbacks_by_id[number].queue_group[1] for number in held
+        harness.core.module.state.callbacks_by_id[number].queue_group[1] for number in held
     )
-    newcomers = [world.submit() for _ in range(12)]
-    assert [world.answers[number] for number in newcomers].count(503) > 9 and not set(
-        world.notices
+    newcomers = [harness.submit() for _ in range(12)]
+    assert [harness.answers[number] for number in newcomers].count(503) > 9 and not set(
+        harness.notices
     ) & set(held)
     assert (
-        set(held) <= set(world.core.callbacks)
-        and len(world.core.module.state.callbacks_by_id) <= 32
+        set(held) <= set(harness.core.callbacks)
+        and len(harness.core.module.state.callbacks_by_id) <= 32
     )
 
 
 def test_unrepeatable_callback_ends_after_restart(tmp_path):
-    world = make_harness(
+    harness = make_harness(
         tmp_path,
         callback_classes=[
             callback_class("rerunnable", abandon=90000, ordered=True),
@@ -483,50 +509,50 @@
         ],
         max_calls=1,
     )
-    world.submit(0)
-    second = world.submit(1, destination=2, key="k")
-    world.end_call(next(iter(world.in_flight)), Result.DELIVERED)
-    world.step()
-    assert [m.id for _, ms in world.in_flight.values() for m in ms] == [second]
-    world.submit(0)
-    world.kill()
-    assert world.in_flight and list(world.notices) == [
+    harness.submit(0)
+    second = harness.submit(1, destination=2, key="k")
+    harness.end_call(next(iter(harness.in_flight)), Result.DELIVERED)
+    harness.step()
+    assert [m.id for _, ms in harness.in_flight.values() for m in ms] == [second]
+    harness.submit(0)
+    harness.kill()
+    assert harness.in_flight and list(harness.notices) == [
         second
-    ], "its slot is another's, and it is over all the same"
+    ], "it ends, though another callback has its slot"
 
 
 def test_rewritten_log_keeps_deduplication_window(tmp_path):
-    world = make_harness(
+    harness = make_harness(
         tmp_path, callback_classes=[callback_class("ticketed", abandon=60000, window=3000)]
     )
-    number = world.submit()
-    world.end_call(next(iter(world.in_flight)), Result.RESET)
-    world.step()
-    world.end_call(next(iter(world.in_flight)), Result.REFUSED)
-    assert world.store.rewrite(world.core.snapshot())
-    world.now += 4 * SECOND
-    world.kill()
-    world.advance(SECOND)
-    assert not world.in_flight and number in world.notices
+    number = harness.submit()
+    harness.end_call(next(iter(harness.in_flight)), Result.RESET)
+    harness.step()
+    harness.end_call(next(iter(harness.in_flight)), Result.REFUSED)
+    assert harness.store.rewrite(harness.core.snapshot())
+    harness.now += 4 * SECOND
+    harness.kill()
+    harness.advance(SECOND)
+    assert not harness.in_flight and number in harness.notices
 
 
 @pytest.mark.parametrize("effect", ["exclusive", "rerunnable"])
 def test_key_cooldown_survives_two_kills(tmp_path, effect):
-    world = make_harness(
+    harness = make_harness(
         tmp_path,
         callback_classes=[callback_class(effect, abandon=60000, ordered=True)],
         key_cooldown=3 * SECOND,
     )
-    first, second = world.submit(key="k"), world.submit(key="k")
-    world.kill()
-    # the at-most-once one is over, its key rests for the launch that may run still
-    world.answer_notices()
-    world.advance(SECOND)
-    world.kill()
-    world.advance(1900 * MS)
-    assert not world.in_flight
-    world.advance(300 * MS)
-    assert [m.id for _, ms in world.in_flight.values() for m in ms] == [
+    first, second = harness.submit(key="k"), harness.submit(key="k")
+    harness.kill()
+    # the at-most-once callback has ended; its key cools down, as the attempt may still run
+    harness.answer_notices()
+    harness.advance(SECOND)
+    harness.kill()
+    harness.advance(1900 * MS)
+    assert not harness.in_flight
+    harness.advance(300 * MS)
+    assert [m.id for _, ms in harness.in_flight.values() for m in ms] == [
         second if effect == "exclusive" else first
     ]
 
@@ -562,92 +588,94 @@
 
 
 def test_window_counts_from_first_attempt(tmp_path):
-    world = make_harness(
+    harness = make_harness(
         tmp_path, callback_classes=[callback_class("ticketed", abandon=60000, window=3000)]
     )
-    number = world.submit()
-    world.now += 2 * SECOND
-    # its launch may have run; it goes again, inside the window
-    world.kill()
-    world.advance(500 * MS)
-    assert [m.id for _, ms in world.in_flight.values() for m in ms] == [number]
-    world.now += SECOND
-    world.kill()
-    world.advance(SECOND)
-    assert not world.in_flight and number in world.notices
+    number = harness.submit()
+    harness.now += 2 * SECOND
+    # its attempt may have run; it is repeated within the window
+    harness.kill()
+    harness.advance(500 * MS)
+    assert [m.id for _, ms in harness.in_flight.values() for m in ms] == [number]
+    harness.now += SECOND
+    harness.kill()
+    harness.advance(SECOND)
+    assert not harness.in_flight and number in harness.notices
 
 
 @pytest.mark.parametrize("effect,goes", [("ticketed", False), ("rerunnable", True)])
 def test_late_connection_carries_no_repeat(tmp_path, effect, goes):
-    world = make_harness(
+    harness = make_harness(
         tmp_path, callback_classes=[callback_class(effect, abandon=60000, window=3000)]
     )
-    number = world.submit()
-    first = world.now
-    world.end_call(next(iter(world.in_flight)), Result.RESET)
-    world.step()
-    assert [m.id for _, ms in world.in_flight.values() for m in ms] == [number]
-    ((call, _),) = world.in_flight.values()
-    # the window alone, not the call's own time, is what runs out
-    world.core.calls[call.number].deadline = first + 60 * SECOND
-    assert world.core.refusal(call.number, first + 2999 * MS) is None
+    number = harness.submit()
+    first = harness.now
+    harness.end_call(next(iter(harness.in_flight)), Result.RESET)
+    harness.step()
+    assert [m.id for _, ms in harness.in_flight.values() for m in ms] == [number]
+    ((call, _),) = harness.in_flight.values()
+    # only the window expires, and not the call's own deadline
+    harness.core.calls[call.number].deadline = first + 60 * SECOND
+    assert harness.core.refusal(call.number, first + 2999 * MS) is None
     over = None if goes else Refusal.WINDOW_OVER
-    assert world.core.refusal(call.number, first + 3000 * MS) is over
+    assert harness.core.refusal(call.number, first + 3000 * MS) is over
 
 
 def test_key_cooldown_and_order_survive_restart(tmp_path):
-    world = make_harness(
+    harness = make_harness(
         tmp_path,
         callback_classes=[callback_class("rerunnable", abandon=60000, ordered=True)],
         key_cooldown=2 * SECOND,
     )
-    numbers = [world.submit(key="k") for _ in range(3)]
-    world.end_call(next(iter(world.in_flight)), Result.RESET)
-    world.kill()
-    world.advance(1900 * MS)
-    assert not world.in_flight
+    numbers = [harness.submit(key="k") for _ in range(3)]
+    harness.end_call(next(iter(harness.in_flight)), Result.RESET)
+    harness.kill()
+    harness.advance(1900 * MS)
+    assert not harness.in_flight
     for number in numbers:
-        world.advance(9 * SECOND if not world.in_flight else 1)
-        assert [m.id for _, ms in world.in_flight.values() for m in ms] == [number]
-        world.end_call(next(iter(world.in_flight)), Result.DELIVERED)
-        world.step()
+        harness.advance(9 * SECOND if not harness.in_flight else 1)
+        assert [m.id for _, ms in harness.in_flight.values() for m in ms] == [number]
+        harness.end_call(next(iter(harness.in_flight)), Result.DELIVERED)
+        harness.step()
 
 
 def test_blocked_call_releases_its_slot(tmp_path):
-    world = make_harness(
+    harness = make_harness(
         tmp_path,
         callback_classes=[callback_class("exclusive", abandon=20000, ordered=True)],
         max_calls=1,
     )
-    world.submit(key="k")
-    world.submit(key="k")
-    world.end_call(next(iter(world.in_flight)), Result.ERROR)
-    world.step()
-    other = world.submit(key="l")
-    assert world.core.queued_calls and not world.in_flight
-    world.advance(1100 * MS)
-    assert [m.id for _, ms in world.in_flight.values() for m in ms] == [other]
+    harness.submit(key="k")
+    harness.submit(key="k")
+    harness.end_call(next(iter(harness.in_flight)), Result.ERROR)
+    harness.step()
+    other = harness.submit(key="l")
+    assert harness.core.queued_calls and not harness.in_flight
+    harness.advance(1100 * MS)
+    assert [m.id for _, ms in harness.in_flight.values() for m in ms] == [other]
 
 
 def test_unsent_call_uses_no_attempt(tmp_path):
-    world = make_harness(
+    harness = make_harness(
         tmp_path,
         callback_classes=[callback_class("rerunnable", abandon=60000)],
         max_attempts=2,
         max_calls=1,
     )
-    number = world.submit()
+    number = harness.submit()
     for _ in range(5):
-        (call,) = world.in_flight
-        world.end_call(call, Result.NOT_SENT, unsent=True)
-        world.step()
-    assert world.in_flight and not world.notices and world.core.callbacks[number].attempts == 1
-    world.end_call(next(iter(world.in_flight)), Result.NOT_SENT, unsent=True)
-    for _ in range(2):  # out when the process ends: that may have been a launch
-        world.step()
-        assert world.in_flight
-        world.kill()
-    assert not world.in_flight and list(world.notices) == [number]
+        (call,) = harness.in_flight
+        harness.end_call(call, Result.NOT_SENT, unsent=True)
+        harness.step()
+    assert (
+        harness.in_flight and not harness.notices and harness.core.callbacks[number].attempts == 1
+    )
+    harness.end_call(next(iter(harness.in_flight)), Result.NOT_SENT, unsent=True)
+    for _ in range(2):  # in flight when the process ends: this may have been an attempt
+        harness.step()
+        assert harness.in_flight
+        harness.kill()
+    assert not harness.in_flight and list(harness.notices) == [number]
 
 
 def test_withdrawn_id_is_accepted_again():
@@ -661,53 +689,53 @@
 
 @pytest.mark.parametrize("rewritten", [False, True])
 def test_ejected_host_slow_starts_after_restart(tmp_path, rewritten):
-    world = make_harness(
+    harness = make_harness(
         tmp_path,
         hosts=HOSTS[:1],
         callback_classes=[callback_class("rerunnable", abandon=120_000)],
         max_calls=20,
     )
     for _ in range(12):
-        world.submit()
-        for number in list(world.in_flight):
-            world.end_call(number, Result.NO_CONNECT)
-        world.advance(6 * SECOND)
-    assert "host h1 closed: no_connect" in world.messages
+        harness.submit()
+        for number in list(harness.in_flight):
+            harness.end_call(number, Result.NO_CONNECT)
+        harness.advance(6 * SECOND)
+    assert "host h1 closed: no_connect" in harness.messages
 
     def restart():
-        for number in list(world.in_flight):
-            world.end_call(number, Result.NO_CONNECT)
-        assert not rewritten or world.store.rewrite(world.core.snapshot())
-        world.kill()
+        for number in list(harness.in_flight):
+            harness.end_call(number, Result.NO_CONNECT)
+        assert not rewritten or harness.store.rewrite(harness.core.snapshot())
+        harness.kill()
         for _ in range(8):
-            world.submit()
+            harness.submit()
 
     restart()
-    assert len(world.in_flight) == 1, "one trial at a time"
-    world.end_call(next(iter(world.in_flight)), Result.DELIVERED)
-    world.advance(100 * MS)
-    assert not world.in_flight, "under the budget"
+    assert len(harness.in_flight) == 1, "one probe at a time"
+    harness.end_call(next(iter(harness.in_flight)), Result.DELIVERED)
+    harness.advance(100 * MS)
+    assert not harness.in_flight, "limited by the slow start"
     restart()
-    assert len(world.in_flight) <= 1, "its ramp was not over"
-    world.end_call(next(iter(world.in_flight)), Result.DELIVERED)
+    assert len(harness.in_flight) <= 1, "its slow start is not over"
+    harness.end_call(next(iter(harness.in_flight)), Result.DELIVERED)
     for _ in range(120):
-        world.advance(100 * MS)
-        for number in list(world.in_flight):
-            world.end_call(number, Result.DELIVERED)
+        harness.advance(100 * MS)
+        for number in list(harness.in_flight):
+            harness.end_call(number, Result.DELIVERED)
     restart()
-    assert len(world.in_flight) == 2, "well again: the window's start"
+    assert len(harness.in_flight) == 2, "healthy again: the initial window"
 
 
 def test_attempt_limit_counts_across_restarts(tmp_path):
-    world = make_harness(
+    harness = make_harness(
         tmp_path, callback_classes=[callback_class("rerunnable", abandon=600_000)], max_attempts=3
     )
-    number = world.submit()
+    number = harness.submit()
     for _ in range(2):
-        world.kill()
-        assert world.in_flight
-    world.kill()
-    assert not world.in_flight and number in world.notices
+        harness.kill()
+        assert harness.in_flight
+    harness.kill()
+    assert not harness.in_flight and number in harness.notices
 
 
 def test_queued_call_returns_when_host_unavailable():
@@ -735,7 +763,8 @@
                 ev.CallEnded(call.number, 5, [ev.AttemptOutcome("a", Result.REFUSED, wait)]),
             )
         why = Refusal.TOLD_TO_WAIT if wait else Refusal.HOST_NOT_UP
-        # the one that was out: told to wait, it is over; at the host that drains, it may not be written
+        # the call in flight: it has ended after the Retry-After; it may not be written to a
+        # draining host
         assert core.refusal(call.number, now) is (Refusal.CALLED_OFF if wait else why)
         effects = effects_of(core, now, ev.AnswerWritten("b", "d"))
         assert not [e for e in effects if type(e) is ev.Call]
@@ -745,63 +774,68 @@
 
 
 def test_bundle_ends_at_earliest_deadline(tmp_path):
-    """Danger: waited for, its answer comes too late for the one and is no delivery for the others either."""
-    world = make_harness(
+    """Guards against waiting for a bundle's answer beyond the earliest deadline in it.
+
+    The answer would come too late for that callback, and be no delivery for the others either.
+    """
+    harness = make_harness(
         tmp_path,
         callback_classes=[callback_class("ticketed", ordered=True, abandon=20000)],
         max_calls=1,
         key_cooldown=100 * MS,
     )
-    world.submit(destination=2)
-    first = world.submit(destination=2, key="k", span=700 * MS, step=False)
-    other = world.submit(destination=2, key="other", step=False)
-    world.end_call(next(iter(world.in_flight)), Result.DELIVERED)
-    world.step()
-    ((_, (_, members)),) = world.in_flight.items()
+    harness.submit(destination=2)
+    first = harness.submit(destination=2, key="k", span=700 * MS, step=False)
+    other = harness.submit(destination=2, key="other", step=False)
+    harness.end_call(next(iter(harness.in_flight)), Result.DELIVERED)
+    harness.step()
+    ((_, (_, members)),) = harness.in_flight.items()
     assert [m.id for m in members] == [first, other]
     assert (
-        members[0].deadline < world.submitted[first][2]
-    ), "it is given up before its client's time is up, which began sooner"
-    later = world.submit(destination=2, key="k")
-    world.advance(700 * MS)
+        members[0].deadline < harness.submitted[first][2]
+    ), "it is given up before its client's deadline, which was set earlier"
+    later = harness.submit(destination=2, key="k")
+    harness.advance(700 * MS)
     assert (
-        not world.in_flight and list(world.notices) == [first] and not world.notices[first].rejected
+        not harness.in_flight
+        and list(harness.notices) == [first]
+        and not harness.notices[first].rejected
     )
-    world.answer_notices()
-    assert list(world.core.callbacks) == [other, later]
-    world.advance(101 * MS)
+    harness.answer_notices()
+    assert list(harness.core.callbacks) == [other, later]
+    harness.advance(101 * MS)
     assert {other, later} <= {
-        m.id for _, members in world.in_flight.values() for m in members
-    }, "both go on once their keys have rested"
+        m.id for _, members in harness.in_flight.values() for m in members
+    }, "both continue after their keys' cooldowns"
 
 
 def test_bundled_callbacks_end_separately(tmp_path):
-    world = make_harness(
+    harness = make_harness(
         tmp_path,
         callback_classes=[callback_class("exclusive", goal=19000, abandon=20000)],
         max_calls=1,
     )
-    world.submit(destination=2)
+    harness.submit(destination=2)
     for _ in range(4):
-        world.submit(destination=2, step=False)
-    world.end_call(next(iter(world.in_flight)), Result.DELIVERED)
-    world.step()
-    ((number, (call, members)),) = world.in_flight.items()
+        harness.submit(destination=2, step=False)
+    harness.end_call(next(iter(harness.in_flight)), Result.DELIVERED)
+    harness.step()
+    ((number, (call, members)),) = harness.in_flight.items()
     assert call.is_bundle and len(members) == 4
     for result, member in zip(
         (Result.DELIVERED, Result.ERROR, Result.REFUSED, Result.NOT_SENT), list(members)
     ):
-        world.end_call(
+        harness.end_call(
             number, result, ids=[member.id], attempts_exhausted=result is Result.NOT_SENT
         )
-    world.step()
-    assert set(world.notices) == {
+    harness.step()
+    assert set(harness.notices) == {
         members[1].id,
         members[3].id,
-    }, "may have run; has had all its launches"
-    assert not world.notices[members[1].id].rejected and world.notices[members[3].id].rejected
-    world.advance(9 * SECOND)
-    assert [m.id for _, ms in world.in_flight.values() for m in ms] == [members[2].id]
+    }, "one may have run; one has used all its attempts"
+    assert not harness.notices[members[1].id].rejected and harness.notices[members[3].id].rejected
+    harness.advance(9 * SECOND)
+    assert [m.id for _, ms in harness.in_flight.values() for m in ms] == [members[2].id]
 
 
 def test_unlogged_callback_is_refused():
@@ -813,7 +847,7 @@
     effects_of(core, now, ev.Submitted("c", submission("b")), ev.Step())
     assert not effects_of(
         core, now, ev.AnswerWritten("b", "c")
-    ), "danger: each launch that can't be logged opens a connection for nothing"
+    ), "each attempt that can't be logged would open a connection for nothing"
     (call,) = effects_of(core, now, ev.LogWritable())
     (logged,) = effects_of(core, now, ev.CallConnected(call.number))
     effects = effects_of(core, now, ev.AppendFailed([logged.record]))
@@ -822,7 +856,7 @@
 
 
 def module_breaking_at(at):
-    """A module that breaks once, at that step."""
+    """Returns a decision module that raises once, at that step."""
 
     class Breaking(Dispatcher):
         steps = 0
@@ -841,7 +875,7 @@
     monkeypatch.setattr(
         "molehill.core.reducer.check_invariant", lambda condition, name, **facts: bool(condition)
     )
-    world = CoreHarness(
+    harness = CoreHarness(
         tmp_path,
         settings(
             kinds=KINDS, callback_classes=[callback_class("ticketed", abandon=20000, window=9000)]
@@ -849,15 +883,15 @@
         HOSTS,
         module_breaking_at(at),
     )
-    numbers = [world.submit() for _ in range(3)]
+    numbers = [harness.submit() for _ in range(3)]
     for _ in range(20):
-        world.advance(SECOND)
-        for number in list(world.in_flight):
-            world.end_call(number, Result.DELIVERED)
-        world.answer_notices()
-    assert [world.ended.get(number) for number in numbers] == [
+        harness.advance(SECOND)
+        for number in list(harness.in_flight):
+            harness.end_call(number, Result.DELIVERED)
+        harness.answer_notices()
+    assert [harness.ended.get(number) for number in numbers] == [
         "fulfilled"
-    ] * 3 and not world.core.callbacks
+    ] * 3 and not harness.core.callbacks
 
 
 def test_notice_waits_after_module_fault(monkeypatch):
@@ -895,12 +929,12 @@
     monkeypatch.setattr(
         "molehill.core.reducer.check_invariant", lambda condition, name, **facts: bool(condition)
     )
-    world = CoreHarness(tmp_path, settings(kinds=KINDS), HOSTS, Forgetful)
-    number = world.submit()
-    world.advance(5149 * MS)
-    assert not world.notices
-    world.advance(2 * MS)
-    assert list(world.notices) == [number]
+    harness = CoreHarness(tmp_path, settings(kinds=KINDS), HOSTS, Forgetful)
+    number = harness.submit()
+    harness.advance(5149 * MS)
+    assert not harness.notices
+    harness.advance(2 * MS)
+    assert list(harness.notices) == [number]
 
 
 def test_departed_hosts_are_forgotten_unless_busy():
@@ -998,16 +1032,16 @@
 
 
 def test_no_call_starts_shortly_before_stop(tmp_path):
-    world = make_harness(tmp_path, callback_classes=[callback_class("exclusive", abandon=20000)])
-    world.post(ev.Stop(world.now + 3 * SECOND))
-    world.submit()
-    assert len(world.in_flight) == 1, "there is time enough"
-    world.end_call(next(iter(world.in_flight)), Result.DELIVERED)
-    world.advance(2950 * MS)
-    number = world.submit()
-    assert not world.in_flight, "an answer takes 50 ms there"
-    world.kill()
-    assert [m.id for _, ms in world.in_flight.values() for m in ms] == [number]
+    harness = make_harness(tmp_path, callback_classes=[callback_class("exclusive", abandon=20000)])
+    harness.post(ev.Stop(harness.now + 3 * SECOND))
+    harness.submit()
+    assert len(harness.in_flight) == 1, "there is enough time left"
+    harness.end_call(next(iter(harness.in_flight)), Result.DELIVERED)
+    harness.advance(2950 * MS)
+    number = harness.submit()
+    assert not harness.in_flight, "only 50 ms are left, which an answer takes"
+    harness.kill()
+    assert [m.id for _, ms in harness.in_flight.values() for m in ms] == [number]
 
 
 def test_broken_invariant_raises_assertion():
@@ -1017,7 +1051,7 @@
 
 
 class CoreRestarts(RuleBasedStateMachine):
-    """Random days over many restarts: the wire checks the rules at every effect."""
+    """Random events over many restarts; the harness checks each effect against the rules."""
 
     @initialize(
         max_calls=st.integers(1, 6),
@@ -1037,7 +1071,7 @@
             max_pending=held,
             connection_idle=SECOND,
         )
-        self.world = CoreHarness(self.folder.name, given, HOSTS, max_bytes=max_bytes)
+        self.harness = CoreHarness(self.folder.name, given, HOSTS, max_bytes=max_bytes)
 
     @rule(
         cat=st.integers(0, 2),
@@ -1048,9 +1082,9 @@
         step=st.booleans(),
     )
     def take(self, cat, dest, key, gone, size, step):
-        self.world.submit(cat, dest, key, gone=gone, body=b"b" * size, step=step)
+        self.harness.submit(cat, dest, key, gone=gone, body=b"b" * size, step=step)
 
-    @precondition(lambda self: self.world.in_flight)
+    @precondition(lambda self: self.harness.in_flight)
     @rule(
         pick=st.integers(0, 9),
         result=st.sampled_from(
@@ -1061,8 +1095,8 @@
         attempts_exhausted=st.booleans(),
     )
     def answer(self, pick, result, wait, attempts_exhausted):
-        number = sorted(self.world.in_flight)[pick % len(self.world.in_flight)]
-        self.world.end_call(
+        number = sorted(self.harness.in_flight)[pick % len(self.harness.in_flight)]
+        self.harness.end_call(
             number,
             result,
             wait * MS * (result is Result.REFUSED),
@@ -1071,63 +1105,65 @@
 
     @rule(span=st.sampled_from([1, 30, 400, 2500]))
     def wait(self, span):
-        self.world.advance(span * MS)
+        self.harness.advance(span * MS)
 
     @rule(slow=st.booleans())
     def connections(self, slow):
-        """From here on they come up at once, or only as their call ends."""
-        self.world.connects_slowly = slow
+        """Has later connections come up at once, or only when their call ends."""
+        self.harness.connects_slowly = slow
 
     @rule()
     def platform(self):
-        self.world.answer_notices()
+        self.harness.answer_notices()
 
     @rule(after=st.integers(0, 12))
     def kill_soon(self, after):
-        """The process dies after so many more effects, or now."""
+        """Kills the process after `after` more effects, or now."""
         if after:
-            self.world.effects_left = after
+            self.harness.effects_left = after
         else:
             self.killed()
 
     def killed(self):
-        self.world.effects_left = None
-        self.world.kill()
+        self.harness.effects_left = None
+        self.harness.kill()
 
     @rule(
         host=st.sampled_from(["h1", "h2", "h3"]),
         condition=st.sampled_from(list(interface.Condition)),
     )
     def relist(self, host, condition):
-        entry = self.world.hosts[host]
-        self.world.hosts[host] = ev.Host(
+        entry = self.harness.hosts[host]
+        self.harness.hosts[host] = ev.Host(
             host, entry.address, entry.zone, entry.kind, entry.destination, condition, 1.0
         )
-        self.world.post(ev.HostListReceived(interface.ListScope.UPDATE, [self.world.hosts[host]]))
+        self.harness.post(
+            ev.HostListReceived(interface.ListScope.UPDATE, [self.harness.hosts[host]])
+        )
 
     def teardown(self):
-        if not hasattr(self, "world"):
+        if not hasattr(self, "harness"):
             return
-        world = self.world
-        world.effects_left = None
+        harness = self.harness
+        harness.effects_left = None
         for _ in range(24):
-            world.advance(SECOND)
-            world.answer_notices()
-        assert not set(world.acknowledged) - set(
-            world.ended
-        ), "rule 1: taken on, and neither delivered nor ended"
+            harness.advance(SECOND)
+            harness.answer_notices()
+        assert not set(harness.acknowledged) - set(
+            harness.ended
+        ), "rule 1: accepted, and neither delivered nor ended"
         assert (
-            not world.core.callbacks
-            and not world.core.module.state.callbacks_by_id
-            and not world.core.keys_awaiting_notice
+            not harness.core.callbacks
+            and not harness.core.module.state.callbacks_by_id
+            and not harness.core.keys_awaiting_notice
         )
         assert (
-            world.core.log_bytes_used == 0
-            and world.core.open_count == 0
-            and not world.core.calls
-            and not world.core.queued_calls
+            harness.core.log_bytes_used == 0
+            and harness.core.open_count == 0
+            and not harness.core.calls
+            and not harness.core.queued_calls
         )
-        world.store.close()
+        harness.store.close()
         self.folder.cleanup()
 
 
