--- a/benchmarks/storage.py
+++ b/benchmarks/storage.py
@@ -1,9 +1,11 @@
-"""What the storage engine costs beside the log of today.
+"""Measures the cost of the segmented storage against the present log.
 
-    python benchmarks/storage.py codec --rounds 20000     # bytes and time a record, by version, against today's
-    python benchmarks/storage.py room --rounds 30000      # bytes written for each appended, by share owed and by lives
+    python benchmarks/storage.py codec --rounds 20000
+        bytes and time for each record, by version, relative to the present log's version
+    python benchmarks/storage.py room --rounds 30000
+        bytes written for each byte appended, by share of live states and by lifetimes
 
-Out of CI. Absolute times are this machine's; what counts are ratios within one run.
+Not part of CI. Absolute times depend on the machine; only ratios within one run are meaningful.
 """
 
 import argparse
@@ -19,7 +21,7 @@
     + b", ".join([b'{"sku": "A-1029", "count": 2}'] * 4)
     + b"]}"
 )
-# The records of one callback's life, in the fields that the core writes.
+# The records of one callback, with the fields that the core writes.
 CALLBACK_RECORDS = [
     (
         {
@@ -59,7 +61,7 @@
 
 
 def time_per_record(work, rows, rounds: int) -> float:
-    """Microseconds a record: the best of five, as the others were disturbed."""
+    """Returns microseconds for each record: the best of five runs, as the others were disturbed."""
     best = None
     for _ in range(5):
         started_at = time.perf_counter()
@@ -72,6 +74,7 @@
 
 
 def compare_codecs(rounds: int) -> None:
+    """Prints sizes and times of each codec version, with ratios to the first one."""
     baseline = None
     for version in codec.VERSIONS:
         payloads = [codec.encode(version, *row) for row in CALLBACK_RECORDS]
@@ -82,17 +85,23 @@
         )
         baseline = baseline or row
         print(
-            f"version {version}: {row[0]} bytes a callback ({row[0] / baseline[0]:.2f}), {row[1]:.2f} us to write a record "
-            f"({row[1] / baseline[1]:.2f}), {row[2]:.2f} us to read one ({row[2] / baseline[2]:.2f})"
+            f"version {version}: {row[0]} bytes a callback ({row[0] / baseline[0]:.2f}), "
+            f"{row[1]:.2f} us to write a record "
+            f"({row[1] / baseline[1]:.2f}), "
+            f"{row[2]:.2f} us to read one ({row[2] / baseline[2]:.2f})"
         )
 
 
-# bytes of a state, of what comes later, of all, of one segment
+# bytes of a state, of each later record, of the whole space, of one segment
 STATE_BYTES, RECORD_BYTES, MAX_BYTES, SEGMENT_SIZE = 300, 80, 1_000_000, 20_000
 
 
 def compare_space(rounds: int) -> None:
-    """Callbacks come and go, so that a share of what may be owed is owed; of "long first" half of them stay to the end."""
+    """Prints the bytes written for each byte appended, for live shares and lifetimes.
+
+    Callbacks come and go, so that the given share of the permitted states is live. With "long
+    first", half of them stay to the end.
+    """
     for share in (0.5, 0.7, 0.85):
         for lifetimes in ("short", "mixed", "long first"):
             random, simulator, held = Random(5), SpaceSimulator(MAX_BYTES, SEGMENT_SIZE), []
@@ -110,7 +119,9 @@
                     simulator.append(RECORD_BYTES, callback_id)
                 simulator.space.remove_state(callback_id)
             print(
-                f"{simulator.space.live_bytes / MAX_BYTES:.2f} of the room owed, lives {lifetimes}: {simulator.written / simulator.appended:.2f} bytes written for each "
+                f"{simulator.space.live_bytes / MAX_BYTES:.2f} of the space live, "
+                f"lifetimes {lifetimes}: "
+                f"{simulator.written / simulator.appended:.2f} bytes written for each "
                 f"appended, {simulator.most_moved} states moved at once at most"
             )
 
--- a/tests/test_host_list.py
+++ b/tests/test_host_list.py
@@ -1,4 +1,4 @@
-"""The list of hosts over a restart: which of the log's and the file's counts, what a bad record costs, how large it gets."""
+"""Tests of the host list over a restart: the log's or the file's list, bad records, its size."""
 
 import pytest
 
@@ -32,11 +32,18 @@
 @pytest.mark.parametrize(
     "version, index, source, wanted, watch_from",
     [
-        (41, 41, HERE, {"h1": "leaving", "h2": "active"}, 41),  # the log is as new: it alone
+        (
+            41,
+            41,
+            HERE,
+            {"h1": "leaving", "h2": "active"},
+            41,
+        ),  # the log is as new as the file: only the log counts
         (42, 41, HERE, {"h1": "leaving", "h2": "active"}, 42),
-        # the file may be newer: whom it does not name has left, who leaves by either leaves
+        # the file may be newer: a host that it does not name has left, and a host that is leaving
+        # by either list is leaving
         (41, 42, HERE, {"h1": "leaving", "h3": "active"}, None),
-        # discovery has moved, or counts anew there: no version tells
+        # discovery has moved, or restarted its versions: they don't tell which list is newer
         (41, 42, "10.0.0.2:8500", {"h1": "leaving", "h2": "active", "h3": "active"}, None),
         (42, 41, "10.0.0.2:8500", {"h1": "leaving", "h2": "active", "h3": "active"}, None),
     ],
@@ -51,7 +58,7 @@
     file = file_list(index, row("h1", "leaving" if leaves_by == "file" else "active"), row("h3"))
     entries, watched = restore_host_list(received, file, HERE)
     if watch_from is not None and leaves_by == "file":
-        wanted = {**wanted, "h1": "active"}  # told of its return since
+        wanted = {**wanted, "h1": "active"}  # the log received its return later
     assert {entry["name"]: entry["status"] for entry in entries} == wanted
     assert watched == watch_from
 
@@ -60,16 +67,16 @@
 def test_log_without_list_keeps_file_list(received):
     file = file_list(41, row("h1", "leaving"))
     assert restore_host_list(received, file, HERE) == (file["endpoints"], 41)
-    for spoilt in ({"endpoints": "none"}, [], {"index": [1]}):
+    for bad in ({"endpoints": "none"}, [], {"index": [1]}):
         with pytest.raises(ValueError, match="known"):
-            restore_host_list(received, spoilt, HERE)
+            restore_host_list(received, bad, HERE)
         assert [
-            e["name"] for e in restore_host_list(logged_list(7, row("h2")), spoilt, HERE).entries
+            e["name"] for e in restore_host_list(logged_list(7, row("h2")), bad, HERE).entries
         ] == ["h2"]
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "bad",
     [
         {"rows": [["h9"]]},
         {"rows": None},
@@ -77,10 +84,10 @@
         {"rows": [row("h9")], "source": None, "version": {}},
     ],
 )
-def test_bad_list_record_changes_nothing(spoilt):
+def test_bad_list_record_changes_nothing(bad):
     received = logged_list(41, row("h1"))
     with pytest.raises((KeyError, TypeError, ValueError)):
-        received.load({"version": 42, "source": HERE, "rows": [list(row("h9"))], **spoilt})
+        received.load({"version": 42, "source": HERE, "rows": [list(row("h9"))], **bad})
     assert (received.version, list(received.rows)) == (41, ["h1"])
 
 
--- a/tests/test_permission.py
+++ b/tests/test_permission.py
@@ -1,4 +1,4 @@
-"""What may be sent, begun and closed: the one place that answers it, case by case."""
+"""Tests of core/permission.py: which calls may be started and written, case by case."""
 
 from types import SimpleNamespace
 
@@ -56,7 +56,10 @@
 
 
 def test_forbidden_module_choice_is_not_sent(harness):
-    """The rules hold whatever the module decides: what it had to exclude is a broken invariant, and is not sent."""
+    """The rules hold whatever the module decides.
+
+    A choice that it had to exclude is a broken invariant, and is not sent.
+    """
     client = harness.connect_client()
     for ident in (b"id1", b"id2"):
         client.send(REQUEST % ident)
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""Storage: what a spoilt byte, a torn tail or a payload made to look like a record can cost."""
+"""Tests of storage/: corrupt bytes, torn tails, payloads that look like records, and space."""
 
 from random import Random
 
@@ -30,12 +30,12 @@
     ]
     for at in range(len(data)):
         for value in {0, 255, data[at] ^ 1, MAGIC[0]} - {data[at]}:
-            spoilt = data[:at] + bytes([value]) + data[at + 1 :]
+            corrupted = data[:at] + bytes([value]) + data[at + 1 :]
             hit = sum(end <= at for end in ends)
-            assert whole_records(spoilt) == [
+            assert whole_records(corrupted) == [
                 row for n, row in enumerate(enumerate(payloads, 1)) if n != hit
             ]
-            gaps = [r for r in scan(spoilt, SALT) if type(r) is Gap]
+            gaps = [r for r in scan(corrupted, SALT) if type(r) is Gap]
             assert gaps == [Gap(([0] + ends)[hit], HEADER.size + len(payloads[hit]))]
 
 
@@ -51,7 +51,7 @@
 
 
 def test_forged_record_in_payload_is_ignored():
-    """Danger: a client's words that end another client's callback."""
+    """Guards against a client's payload that is read as a record and ends another's callback."""
     forged = pack(b"guessed.", 9, b"end of another")
     data = bytearray(segment([b"first", b".." + forged + b"..", b"third"]))
     at = data.index(MAGIC, 1)
@@ -61,7 +61,10 @@
 
 
 def test_forged_headers_cost_no_payload_reads(monkeypatch):
-    """Danger: a spoilt head before such a body makes the start as slow as the square of the segment."""
+    """Guards against a start that takes time quadratic in the segment's size.
+
+    It would, if a corrupt header came before a body full of forged headers and each were followed.
+    """
     read = []
     extend = records.google_crc32c.extend
     body = HEADER.pack(MAGIC, 5000, 7, 0, 0) * 400
@@ -113,7 +116,7 @@
     ):
         with pytest.raises(codec.CodecError, match=f"version {version}"):
             codec.decode(version, bad)
-    with pytest.raises(codec.CodecError, match="version 99"):  # a later release's
+    with pytest.raises(codec.CodecError, match="version 99"):  # of a later release
         codec.decode(99, payload)
 
 
@@ -151,5 +154,5 @@
     simulator.append(100, "a", 50)
     simulator.space.remove_state("never there")
     assert simulator.space.empty_segments() == [] and simulator.space.live_bytes == 100
-    simulator.append(2000, "b", 50)  # longer than a segment: one of its own
+    simulator.append(2000, "b", 50)  # longer than a segment: it gets one of its own
     assert len(simulator.space.segments) == 2 and simulator.space.used_bytes == 512 + 2048
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The log: torn tails, odd records, rewrites, and files that take no more."""
+"""Tests of the log: torn tails, unusable records, rewrites, and disks that fail or are full."""
 
 import errno
 import os
@@ -20,7 +20,10 @@
 
 
 def write_rows(folder, together):
-    """A log of all rows, in one append or one each; its bytes, and where each row's record ends."""
+    """Writes a log of all rows, in one append or one for each row.
+
+    Returns its bytes, and where the record of each row ends.
+    """
     store, _ = read(folder)
     for rows in [ROWS] if together else [[row] for row in ROWS]:
         assert store.append(rows)
@@ -31,7 +34,7 @@
 
 @pytest.mark.parametrize("together", [False, True])
 def test_torn_tail_is_truncated(tmp_path, together):
-    """Of an append that was cut off nothing is read: nobody was told of any of it."""
+    """Nothing is read of an append that was cut off: no client was answered for any of it."""
     whole, ends = write_rows(tmp_path, together)
     assert len(ends) == len(ROWS)
     for length in range(len(whole)):
@@ -45,7 +48,10 @@
 
 @pytest.mark.parametrize("size", [8, 9, 4096])
 def test_zero_tail_is_not_read_as_records(tmp_path, size):
-    """Danger: a length and a checksum of 0 fit each other, and a hole in the file reads as records of no use."""
+    """Guards against reading a hole in the file as unusable records.
+
+    A length of 0 and a checksum of 0 match.
+    """
     store, _ = read(tmp_path)
     assert store.append(ROWS)
     store.close()
@@ -64,16 +70,16 @@
         data[at] ^= 1
         (tmp_path / "log").write_bytes(data)
         store, found = read(tmp_path)
-        spoilt = next(n for n, end in enumerate(ends) if at < end)
-        in_head = at - (ends[spoilt - 1] if spoilt else 0) < HEADER.size
-        if spoilt == len(ROWS) - 1 and in_head:
-            # its length may be what is spoilt, and then it can't be told from an append that was cut off
+        corrupted = next(n for n, end in enumerate(ends) if at < end)
+        in_head = at - (ends[corrupted - 1] if corrupted else 0) < HEADER.size
+        if corrupted == len(ROWS) - 1 and in_head:
+            # if its length is corrupt, it can't be told from an append that was cut off
             assert found in (ROWS[:-1], [] if together else ROWS[:-1]) and (
                 store.corrupt_chunks,
                 store.truncated_bytes > 0,
             ) in ((1, False), (0, True))
         else:
-            assert found == [row for n, row in enumerate(ROWS) if n != spoilt] and (
+            assert found == [row for n, row in enumerate(ROWS) if n != corrupted] and (
                 store.corrupt_chunks,
                 store.truncated_bytes,
             ) == (1, 0)
@@ -83,7 +89,7 @@
 
 
 def test_record_inside_body_is_not_read(tmp_path):
-    """Danger: behind a spoilt head, a client's own bytes would be searched for records."""
+    """Guards against finding records in a client's body when the header before it is corrupt."""
     forged = encode({"k": "over", "ids": ["victim"]})
     store, _ = read(tmp_path)
     assert store.append([({"k": "taken", "id": "a"}, forged), ROWS[0]])
@@ -96,7 +102,7 @@
 
 
 def failing_disk(**calls):
-    """A disk on which those calls fail as long as `on[0]`."""
+    """Returns a disk on which those calls fail while `failing[0]` is true, and `failing`."""
     failing = [True]
 
     def call(name):
@@ -118,7 +124,7 @@
     failing[0] = False
     store, _ = read(tmp_path, disk=disk)
     assert store.append(ROWS[:1])
-    # all but its last byte
+    # writes all but the last byte, and fails
     write, store._write = store._write, lambda fd, data: write(fd, data[:-1]) and False
     failing[0] = True
     assert not store.append(ROWS[1:3])
@@ -132,7 +138,10 @@
 
 @pytest.mark.parametrize("call", ["close", "rename", "is_same_file"])
 def test_failed_rewrite_leaves_one_usable_log(tmp_path, call):
-    """Danger: after a failing close, or a rename that is done and reports a failure, the file without a name is written on."""
+    """Guards against appending to a file that has no name any more.
+
+    It could happen after a close that fails, or a rename that is done but reports a failure.
+    """
     store, _ = read(tmp_path)
     store.append(ROWS)
 
@@ -225,7 +234,7 @@
             os.rename(a, b)
 
     max_bytes, store = 20_000, read(tmp_path, 20_000, SizeWatchingDisk())[0]
-    kept = [({"k": "taken", "id": n}, b"x" * 650) for n in range(10)]  # 7/20 of the room
+    kept = [({"k": "taken", "id": n}, b"x" * 650) for n in range(10)]  # 7/20 of max_bytes
     for row in kept:
         assert store.append([row])
     for n in range(2000):
@@ -234,4 +243,6 @@
             assert store.rewrite(kept)
             rewrites += 1
     assert 0 < highest <= max_bytes and 5 < rewrites < 200
-    assert not store.append([({"k": "taken"}, b"x" * max_bytes)]), "what has no room is not written"
+    assert not store.append(
+        [({"k": "taken"}, b"x" * max_bytes)]
+    ), "a record that does not fit is not written"
