--- a/molehill/core/reducer.py
+++ b/molehill/core/reducer.py
@@ -106,7 +106,8 @@
         self.calls_paused, self.inherited_calls = False, {}
         # the log takes no records: no call is started either
         self.log_failing = False
-        # after a restart no call is started before discovery has answered or failed, or this time
+        # after a restart no call is started before discovery has answered or failed, or until this
+        # time
         self.list_deadline: Optional[int] = None
         self.handlers = {
             ev.Startup: self._on_start,
@@ -176,7 +177,7 @@
         return recovery.snapshot(self)
 
     def set_health(self, host, ejected, at):
-        """Records that a host was ejected, or has answered again since `at`."""
+        """Records that a host was ejected, or has answered again since `at` (nanoseconds)."""
         slow_start_end = None if ejected else at + (self.settings.slow_start_time or 0)
         self.hosts.set_health(host, slow_start_end)
 
--- a/molehill/storage/space.py
+++ b/molehill/storage/space.py
@@ -10,8 +10,8 @@
 
 BLOCK_SIZE = 512  # bytes; files are counted in whole blocks
 # Share of the space for states and what may yet be written about them. At three quarters, a full
-# round over the log writes three bytes for each byte that it frees; a greater share costs more than
-# twice as much for the last eighth.
+# round over the log writes three bytes for each byte that it frees; with a greater share, it writes
+# twice that and more for the last eighth.
 STATE_SHARE = 3 / 4
 
 
--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -28,6 +28,7 @@
     same_zone=False,
     ordered=False,
 ):
+    """Returns a callback class; `goal`, `abandon` and `window` are in milliseconds."""
     return interface.CallbackClass(
         interface.DeliverySemantics(effect),
         goal * MS,
@@ -42,6 +43,7 @@
 
 
 def settings(**given):
+    """Returns settings for tests, with the given fields replaced."""
     base = dict(
         callback_classes=[callback_class()],
         kinds=[interface.HostKind(False, 1)],
@@ -98,27 +100,38 @@
         self.step([self.list_news(interface.ListScope.RESTORED, entries)])
 
     def list_news(self, scope, entries):
+        """Returns the event of a received list, and notes which hosts are up."""
         if scope is not interface.ListScope.UPDATE:
             self.is_up = {}
         self.is_up.update({e.host: e.condition is interface.Condition.UP for e in entries})
         return interface.HostListUpdate(scope, list(entries))
 
     def route(self, host):
+        """Returns the route of a host, for which a Retry-After holds."""
         _, _, kind, destination = self.host_rows[host]
         return host if self.settings.kinds[kind].separate_routes else -destination
 
     def submit(self, cat=0, destination=1, key=None, tenant=0, abandon=None):
+        """Submits a callback of the class number `cat`, and returns its id.
+
+        `abandon`: its time limit in nanoseconds; that of its class by default.
+        """
         self.last_number += 1
         row = self.settings.callback_classes[cat]
-        due = self.now + (row.time_limit if abandon is None else abandon)
+        deadline = self.now + (row.time_limit if abandon is None else abandon)
         self.open_callbacks[self.last_number] = dict(
-            row=row, key=key if row.ordered else None, deadline=due, attempts=[]
+            row=row, key=key if row.ordered else None, deadline=deadline, attempts=[]
+        )
+        self.step(
+            [interface.NewCallback(self.last_number, cat, tenant, key, deadline, destination)]
         )
-        self.step([interface.NewCallback(self.last_number, cat, tenant, key, due, destination)])
         return self.last_number
 
     def outcome(self, number, result, wait=0, told=(0.0, None)):
-        """Returns the outcome of a callback's attempt in flight, which ends with it."""
+        """Ends a callback's attempt in flight, and returns its outcome.
+
+        `wait`: the host's Retry-After in nanoseconds. `told`: the advertised rate and share left.
+        """
         host, sent, _ = self.in_flight.pop(number)
         entry = self.open_callbacks.get(number)
         if result in MAY_HAVE_RUN and entry is not None:
@@ -156,6 +169,7 @@
         )
 
     def answer(self, number, result=Result.DELIVERED, wait=0, told=(0.0, None)):
+        """Ends a callback's attempt in flight and steps the module; see `outcome`."""
         self.step([self.outcome(number, result, wait, told)])
 
     def advance(self, span):
@@ -169,6 +183,7 @@
             self.step(events + [interface.TimerExpired("wake")])
 
     def step(self, events=()):
+        """Steps the module, carries out its actions, and checks the rules."""
         self.wake = (
             None
             if any(type(e) is interface.TimerExpired for e in events)
@@ -325,6 +340,7 @@
         self.start()
 
     def start(self):
+        """Starts a process on the log as it is."""
         self.store = Store(self.folder, self.max_bytes, Disk())
         self.core = Core(
             self.settings, self.process_number, self.make_module, self.max_bytes * 7 // 20
@@ -364,6 +380,7 @@
         self.start()
 
     def post(self, event):
+        """Hands an event to the core, and carries out its effects and what follows from them."""
         self.queue.append(event)
         while self.queue:
             event = self.queue.pop(0)
@@ -380,6 +397,7 @@
             assert self.store.rewrite(self.core.snapshot())
 
     def step(self):
+        """Steps the decision module, and checks the metrics."""
         self.post(ev.Step())
         self.check_metrics()
 
@@ -397,11 +415,15 @@
         )
 
     def advance(self, span):
+        """Lets `span` nanoseconds pass; calls past a deadline time out."""
         until = self.now + span
         while self.now < until:
-            due = self.core.next_step_at()
+            next_step_at = self.core.next_step_at()
             ends = [member.deadline for _, members in self.in_flight.values() for member in members]
-            self.now = max(self.now + 1, min([until, *ends, *([due] if due is not None else [])]))
+            self.now = max(
+                self.now + 1,
+                min([until, *ends, *([next_step_at] if next_step_at is not None else [])]),
+            )
             for number, (call, members) in list(self.in_flight.items()):
                 if number in self.in_flight and any(m.deadline <= self.now for m in members):
                     self.end_call(
@@ -412,17 +434,22 @@
     def submit(
         self, cat=0, destination=1, key=None, span=None, gone=False, body=b"body", step=True
     ):
+        """Submits a callback of the class number `cat`, and returns its id.
+
+        `span`: its time limit in nanoseconds; that of its class by default. `gone`: its client is
+        gone before the answer. `step`: whether the module is stepped after it.
+        """
         self.last_number += 1
         number, row = f"c{self.last_number:04d}", self.settings.callback_classes[cat]
-        due = self.now + (row.time_limit if span is None else span)
-        self.submitted[number] = (row, key if row.ordered else None, due, self.last_number)
+        deadline = self.now + (row.time_limit if span is None else span)
+        self.submitted[number] = (row, key if row.ordered else None, deadline, self.last_number)
         if gone:
             self.gone_clients.add(number)
         self.post(
             ev.Submitted(
                 f"client of {number}",
                 ev.Submission(
-                    number, cat, 0, key if row.ordered else None, destination, due, None, body
+                    number, cat, 0, key if row.ordered else None, destination, deadline, None, body
                 ),
             )
         )
@@ -440,6 +467,10 @@
         self.connected.add(number)
 
     def end_call(self, number, result, wait=0, ids=None, **more):
+        """Ends a call, for all its callbacks or those in `ids`.
+
+        `wait`: the host's Retry-After in nanoseconds. `more`: further fields of the outcomes.
+        """
         if number not in self.connected and result not in (Result.NO_CONNECT, Result.NOT_SENT):
             process_number = self.process_number
             self.post(ev.CallConnected(number))
@@ -497,6 +528,7 @@
             self.queue.append(ev.AnswerWritten(effect.id, effect.client))
 
     def read_records(self):
+        """Reads the records of the log as it is on disk."""
         other, found = Store(self.folder, self.max_bytes, Disk()), []
         other.replay(lambda record, body: found.append(record))
         other.close()
@@ -507,11 +539,11 @@
         assert host.condition is interface.Condition.UP, "rule 3"
         assert self.retry_times.get(host.destination, 0) <= self.now, "rule 6"
         for m in effect.callbacks:
-            row, key, due, order = self.submitted[m.id]
+            row, key, deadline, order = self.submitted[m.id]
             assert (
                 m.id in self.acknowledged or m.id in self.maybe_acknowledged
             ), "nothing is sent before its client was answered"
-            assert m.id not in self.ended and m.deadline <= due, "rule 1: sent after its end"
+            assert m.id not in self.ended and m.deadline <= deadline, "rule 1: sent after its end"
             assert all(
                 m.id != o.id for _, ms in self.in_flight.values() for o in ms
             ), "rule 2: two attempts at once"
@@ -549,6 +581,7 @@
         self.counted_ends.setdefault(effect.id, "throttled" if effect.rejected else "faulted")
 
     def answer_notices(self):
+        """Has the platform answer all notices that were sent."""
         ids, self.notices = list(self.notices), {}
         for i in ids:
             self.ended.setdefault(i, "notice")
@@ -636,6 +669,7 @@
 
 
 def net_config_fields(**given):
+    """Returns the fields of a configuration file for tests, with the given ones replaced."""
     settings_given = dict(
         grades=[
             {
@@ -663,4 +697,5 @@
 
 
 def net_config(**given):
+    """Returns the configuration of `net_config_fields`, parsed."""
     return config.parse_config(net_config_fields(**given), {})
