--- a/molehill/http/clients.py
+++ b/molehill/http/clients.py
@@ -384,8 +384,8 @@
                 # Withdrawn, it has surely not run. Danger: closed without an answer, it is lost to its client.
                 self.post(ev.AnswerNotWritten(callback.id, connection))
                 connection.answer = connection.answer or (503, 0, "not answered")
-        status, wait, why = connection.answer
-        self.counts[why or status] += 1
+        status, wait, reason = connection.answer
+        self.counts[reason or status] += 1
         return (
             status,
             ((("Retry-After", callback_request.format_seconds(wait)),) if wait else ()),
--- a/molehill/http/host_responses.py
+++ b/molehill/http/host_responses.py
@@ -71,11 +71,11 @@
     return ends
 
 
-def advertised_limit(head, tells_limit: bool) -> tuple[float, Optional[float]]:
+def advertised_limit(head, is_advertised: bool) -> tuple[float, Optional[float]]:
     """The limit in calls a second and the share of it that is left; 0 and None where none is told or the report is spoilt, be it in
     another field."""
     report = head.headers.get("srv-load", "")
-    if not tells_limit or not LOAD_REPORT.fullmatch(report):
+    if not is_advertised or not LOAD_REPORT.fullmatch(report):
         return 0.0, None
     values = dict(part.strip().split("=") for part in report.split(","))
     rate, remaining_share = float(values.get("x1", 0.0)), float(values.get("x0", -1.0))
--- a/molehill/http/hosts.py
+++ b/molehill/http/hosts.py
@@ -219,12 +219,12 @@
         self.counts.update(end.result.value for end in ends)
         call.callbacks = [m for m in call.callbacks if m.id not in ended]
         if ends and call.number not in self.aborted:
-            took = (answered_at or self.clock()) - started_at
+            latency = (answered_at or self.clock()) - started_at
             running = self.running_calls[call.number]
             rate, left = advertised
             self.post(
                 ev.CallEnded(
-                    call.number, took, ends, rate, left, running.written_at, running.unread_until
+                    call.number, latency, ends, rate, left, running.written_at, running.unread_until
                 )
             )
 
@@ -284,12 +284,12 @@
             except NoDescriptor as error:  # this relay's own trouble: it tells nothing of the host
                 if stream is not None:
                     stream.close()
-                why = Refusal.NO_DESCRIPTOR
+                refusal = Refusal.NO_DESCRIPTOR
                 if isinstance(error, LocalError):
                     # Danger: asked for anew as fast as it fails, it takes the whole core.
-                    why = Refusal.LOCAL_ERROR
+                    refusal = Refusal.LOCAL_ERROR
                     self.scheduler.sleep_until(min(until, self.clock() + LOCAL_ERROR_DELAY))
-                self._report_same_end(call, started_at, call.callbacks, not_sent_end(why))
+                self._report_same_end(call, started_at, call.callbacks, not_sent_end(refusal))
                 return None
             except (ConnectionBroken, TimedOut) as error:
                 if stream is not None:
@@ -448,9 +448,9 @@
         )
 
 
-def not_sent_end(why: Refusal) -> ev.AttemptOutcome:
+def not_sent_end(refusal: Refusal) -> ev.AttemptOutcome:
     """The end of a callback that never left this relay."""
-    return ev.AttemptOutcome("", Result.NOT_SENT, unsent=True, reason=why)
+    return ev.AttemptOutcome("", Result.NOT_SENT, unsent=True, reason=refusal)
 
 
 def call_deadline(call) -> int:
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -75,9 +75,9 @@
     text = drain(host) or b""
     assert (b"Req-Id: id1" in text) is is_written
     if is_written:
-        told = int(text.partition(b"Req-Deadline-Ms: ")[2].split(b"\r\n")[0])
+        sent_time_limit = int(text.partition(b"Req-Deadline-Ms: ")[2].split(b"\r\n")[0])
         assert (
-            told <= (time_left - 60 * MS) // MS
+            sent_time_limit <= (time_left - 60 * MS) // MS
         ), "what is left of its time as its first byte goes"
     harness.close()
 
@@ -88,10 +88,10 @@
     client.send(REQUEST.replace(b"Content", b"Req-Deadline-Ms: 30\r\nContent") % b"id1")
     harness.read_until(client, b"HTTP/1.1 202")
     harness.read_until(harness.accept(harness.host), b"\r\n\r\nab")
-    called, heard, platforms = harness.clock.now, b"", []
-    while b'{"ref":"id1"' not in heard and harness.clock.now < called + SECOND:
+    called, notices, platforms = harness.clock.now, b"", []
+    while b'{"ref":"id1"' not in notices and harness.clock.now < called + SECOND:
         harness.advance(5 * MS)
-        heard += harness.read_at_platform(platforms)
+        notices += harness.read_at_platform(platforms)
     assert 95 * MS <= harness.clock.now - called <= 250 * MS
 
 
@@ -117,7 +117,7 @@
     harness = RelayHarness(tmp_path, SlowMachine)
     disk = harness.relay.store.disk
     disk.pattern, disk.delay = b"", 20 * MS
-    clients, platforms, told = [harness.connect_client() for _ in range(30)], [], b""
+    clients, platforms, notices = [harness.connect_client() for _ in range(30)], [], b""
     request = REQUEST.replace(b"notice", b"plain").replace(
         b"Content", b"Req-Deadline-Ms: 500\r\nContent"
     )
@@ -125,12 +125,12 @@
     for n, client in enumerate(clients):
         client.send(request % b"id%02d" % n)
     harness.run_rounds()
-    heard = [harness.read_until(client, b"HTTP/1.1 202") for client in clients]
-    assert len(heard) == 30 and harness.clock.now - began <= 400 * MS
+    answers = [harness.read_until(client, b"HTTP/1.1 202") for client in clients]
+    assert len(answers) == 30 and harness.clock.now - began <= 400 * MS
     while harness.clock.now < began + 800 * MS:
         harness.advance(5 * MS)
-        told += harness.read_at_platform(platforms)
-    assert all(b'"ref":"id%02d"' % n in told for n in range(30))
+        notices += harness.read_at_platform(platforms)
+    assert all(b'"ref":"id%02d"' % n in notices for n in range(30))
     harness.close()
 
 
@@ -145,11 +145,11 @@
 
 def advance_to_notice(harness, callback_id, until, platforms):
     """Moves the clock until the platform hears the notice of that id, or till then; whether it did."""
-    heard = b""
+    notices = b""
     while harness.clock.now < until:
         harness.advance(5 * MS)
-        heard += harness.read_at_platform(platforms)
-        if b'"ref":"%s"' % callback_id in heard:
+        notices += harness.read_at_platform(platforms)
+        if b'"ref":"%s"' % callback_id in notices:
             return True
     return False
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -25,14 +25,14 @@
 # The scheduler and the budget
 
 
-def test_a_wait_ends_when_ready_late_or_cut():
-    net, came = NetHarness(), []
+def test_a_wait_ends_when_ready_timed_out_or_cancelled():
+    net, results = NetHarness(), []
     ours, theirs = socket.socketpair()
 
     def reader():
         for _ in range(3):
-            came.append(net.scheduler.wait(ours.fileno(), READ, net.clock() + SECOND))
-            ours.recv(10) if came[-1] == READY else None
+            results.append(net.scheduler.wait(ours.fileno(), READ, net.clock() + SECOND))
+            ours.recv(10) if results[-1] == READY else None
 
     net.scheduler.spawn(reader)
     net.settle()
@@ -41,7 +41,7 @@
     net.advance(1100 * MS)
     net.scheduler.cancel_wait(ours.fileno())
     net.settle()
-    assert came == [READY, TIMED_OUT, CANCELLED] and not net.scheduler.waiters
+    assert results == [READY, TIMED_OUT, CANCELLED] and not net.scheduler.waiters
     for sock in (ours, theirs):
         sock.close()
 
@@ -81,7 +81,7 @@
     assert broken == ["loop"] * 3
 
 
-def test_a_kept_task_restarts_after_an_error(monkeypatch):
+def test_a_supervised_task_restarts_after_an_error(monkeypatch):
     net, tries, broken = NetHarness(), [], []
     monkeypatch.setattr(
         "molehill.runtime.scheduler.check_invariant",
@@ -162,7 +162,7 @@
         self.net.settle()
 
 
-def test_a_request_counts_as_heard_only_once_answered():
+def test_an_answer_counts_as_written_only_once_sent():
     harness = ClientsHarness()
     sock = harness.connect()
     request = REQUEST % b"id1"
@@ -379,13 +379,17 @@
     late = socket.create_connection(harness.clients.listener.getsockname())
     late.setblocking(False)
     late.send(REQUEST % b"late")
-    came = harness.net.clock()
+    sent_at = harness.net.clock()
     harness.net.settle()
     harness.net.advance(200 * MS, step=5 * MS)
     assert not harness.net.events
     harness.net.budget.limit = 50
     harness.net.advance(50 * MS, step=5 * MS)
-    assert came + 480 * MS <= harness.net.events[-1].submission.deadline + 5 * MS <= came + 500 * MS
+    assert (
+        sent_at + 480 * MS
+        <= harness.net.events[-1].submission.deadline + 5 * MS
+        <= sent_at + 500 * MS
+    )
     harness.answer_request(harness.net.events[-1])
     harness.net.settle()
     drain(late)
