--- a/molehill/http/clients.py
+++ b/molehill/http/clients.py
@@ -1,4 +1,9 @@
-"""The client side: takes connections, reads requests, answers them."""
+"""The client side: accepts connections, reads requests and answers them.
+
+Each connection has a task. A request for /api becomes an `ev.Submitted` that is handed to `post`;
+the core's answer comes back by `Clients.answer_request`. In an upgrade the connections are handed
+over to the next process, with the bytes that were read and not yet used.
+"""
 
 import errno
 from collections import Counter
@@ -20,41 +25,46 @@
 )
 from molehill.runtime.trace import NO_TRACE, Step
 
-# A client that sends no whole request is owed an end within three seconds of connecting. Both fit in, and half a
-# second of the relay's own lateness; true clients connect to send at once, and wait 0.4 s for the answer.
+# A connection without a complete request must end within three seconds of connecting. The next two
+# timeouts together leave half a second for delays of the relay itself. Genuine clients send as soon
+# as they have connected, and wait 0.4 s for the answer.
 FIRST_BYTE_TIMEOUT = 1500 * MS  # for the first byte of a connection
 REQUEST_TIMEOUT = SECOND  # for the rest of a request that has begun
-# an answer is a few bytes: a client that does not take them is gone
+# An answer is a few bytes long: a client that doesn't take them is gone.
 WRITE_TIMEOUT = SECOND
-ANSWER_TIMEOUT = SECOND  # clients wait 0.4 s: whoever had no answer by now is gone
-# idle this long, it may be closed without harm: the protocol's figure
+ANSWER_TIMEOUT = SECOND  # clients wait 0.4 s: one without an answer by now is gone
+# The protocol allows closing a connection that has been idle for this long.
 SAFE_IDLE_TIME = 2 * SECOND
-# what a client still sends after an error is read away so that it sees the answer,
+# After an error the client's remaining bytes are read and discarded, so that it sees the answer.
+# Both time and bytes are limited, as a client with an endless body has to see the connection close.
 LINGER_TIMEOUT = 200 * MS
-# up to so much: of a body that goes on and on it has to see a close
 MAX_LINGER_BYTES = 4 * 64 * 1024
-# clients wait no longer for an answer: what was sent before, nobody asks for any more
+# Clients wait no longer than this for an answer; a request that is older has nobody waiting for it.
 MAX_READ_DELAY = 400 * MS
-# from the start: what came while it went on is read by then, and what that was followed by
+# After this span from the start, what arrived during the start has been read, and so have the
+# requests that followed on those connections.
 STARTUP_SPAN = SECOND
 
 
-# What a connection has carried tells what its idling is worth. How long one has to have stood before it is closed for
-# others, by the need: a place for a new connection, or a place among the idle ones; None: not for that.
+# The use that a connection has had predicts whether it will be used again. The spans are how long
+# it has to have been idle before it is closed in favour of others, by purpose: to make room for a
+# new connection, or to get below the limit of idle connections. None: not closed for that purpose.
 UNUSED, USED_ONCE, REUSED = "new", "once", "again"
 FOR_NEW_CONNECTION, FOR_IDLE_LIMIT = 0, 1
-MIN_IDLE_TIMES = {  # in the order in which they go
-    # Without a byte yet: many times a client's round trip. Danger: its first request may be on its way.
+MIN_IDLE_TIMES = {  # in the order in which they are closed
+    # No byte received yet. The first request may be in transit, hence many times a client's round
+    # trip.
     UNUSED: (150 * MS, None),
-    # Asked once and stayed: many times the span in which one that goes on asks again. Most never do.
+    # One request so far: many times the interval after which a client that continues sends its next
+    # request. Most never do.
     USED_ONCE: (SECOND, 100 * MS),
-    # Asked on: idle this long, it is not about to carry a request.
+    # Several requests: after this idle time another one is not imminent.
     REUSED: (SECOND, SECOND),
 }
 
 
 class CloseReason(Enum):
-    """Why a client's connection ended; the values stand in the log's counts."""
+    """Why a client's connection ended; the log's counts use the values."""
 
     BY_CLIENT = "ended by its client"
     LAST_ANSWER = "its answer said so"
@@ -68,7 +78,8 @@
     HAND_OVER_UNANSWERED = "no answer in time for a hand-over"
 
 
-# With these the relay closes of itself, and may do so only where no request has been read and not answered.
+# The relay closes a connection for these reasons on its own initiative, and may do so only if no
+# request has been read from it that is not answered yet.
 IDLE_ONLY_REASONS = (
     CloseReason.MAKE_ROOM,
     CloseReason.SHUTDOWN_IDLE,
@@ -77,7 +88,11 @@
 
 
 class ClientConnection:
-    """A client's connection; `request_id` is the id of the request that waits for its answer; `number`: as the trace knows it."""
+    """A client's connection.
+
+    `number` identifies it in the trace; `request_id` is the id of the request that waits for its
+    answer, if there is one.
+    """
 
     def __init__(self, stream, number: int):
         self.number = number
@@ -88,12 +103,14 @@
             None,
             UNUSED,
         )
-        self.has_open_request = False  # its request is whole, and the answer not written yet
-        self.close_reason = None  # why it ends
+        self.has_open_request = False  # a request is complete, its answer not written yet
+        self.close_reason = None  # a CloseReason once it ends
         self.opened_at = stream.scheduler.clock()
 
 
 class Clients:
+    """Accepts and serves the connections of clients; `post` takes the events for the core."""
+
     def __init__(self, scheduler, config, budget, post):
         self.scheduler, self.config, self.budget, self.post = scheduler, config, budget, post
         self.clock, self.connections, self.is_ready, self.is_closing = (
@@ -104,16 +121,17 @@
         )
         self.listener, self.counts, self.lacks_descriptors = None, Counter(), False
         self.trace, self.last_number = NO_TRACE, 0
-        self.accept_wait_start = self.clock()  # since when some may have waited to be accepted
-        # told of each request that never reaches the core; set when wiring
+        # since when a connection may have waited to be accepted
+        self.accept_wait_start = self.clock()
+        # called for each request that never reaches the core; set when the parts are connected
         self.on_rejected = lambda class_name: None
-        # no request is begun; tasks that wait for that to end
+        # while paused no request is begun; these tasks wait for the pause to end
         self.is_paused, self.paused_tasks = False, []
-        # how long what is read right after the start may have waited
+        # how long a request that is read right after the start may have waited
         self.startup_read_delay = MAX_READ_DELAY
-        # from when on what is read tells by itself how long it has waited
+        # from then on `arrived_after` of a stream tells how long a request may have waited
         self.startup_until = 0
-        # connections between requests, the one idle longest first
+        # connections between requests, the longest idle first
         self.idle_connections = {usage: {} for usage in MIN_IDLE_TIMES}
         budget.idle_closers["left client"] = lambda: self.close_longest_idle(
             FOR_NEW_CONNECTION, SAFE_IDLE_TIME
@@ -121,7 +139,11 @@
         budget.idle_closers["client"] = lambda: self.close_longest_idle(FOR_NEW_CONNECTION)
 
     def start_serving(self, read_delay: int = MAX_READ_DELAY) -> None:
-        """Serves from here on; `read_delay`: how long what is read now may have waited for this process."""
+        """Starts to accept callbacks.
+
+        `read_delay`: how long, in nanoseconds, a request that is read now may have waited for this
+        process.
+        """
         self.is_ready, self.startup_until, self.startup_read_delay = (
             True,
             self.clock() + STARTUP_SPAN,
@@ -129,7 +151,10 @@
         )
 
     def listen(self, listener=None) -> None:
-        """Takes connections, on the listener that an earlier process handed over or on a new one."""
+        """Accepts connections, on the listener that an earlier process handed over or on a new one.
+
+        A transient error is retried by `serve_listener`; other OSErrors are raised.
+        """
         try:
             self.listener = listener or open_listener(self.scheduler.machine, self.config.listen)
         except OSError as error:
@@ -140,7 +165,11 @@
         self.scheduler.spawn_supervised(self.serve_listener)
 
     def serve_listener(self) -> None:
-        """Danger: a restart in a moment in which the machine lacks something must not be a relay that will not start."""
+        """Opens the listener if that has failed, then accepts connections.
+
+        A relay that is restarted while the machine is short of a resource has to come up
+        nevertheless, so opening the listener is retried.
+        """
         while self.listener is None and not self.is_closing:
             self.scheduler.sleep_until(self.clock() + self.ACCEPT_RETRY_DELAY)
             try:
@@ -150,20 +179,22 @@
         self.accept_connections()
 
     def can_serve(self) -> bool:
+        """Whether callbacks are accepted and a listener is open, or was until the shutdown."""
         return self.is_ready and (self.listener is not None or self.is_closing)
 
-    ACCEPT_RETRY_DELAY = 20 * MS  # between tries while no connection can be taken
-    # of accept(2) in a row, as each may have failed for one connection alone
+    ACCEPT_RETRY_DELAY = 20 * MS  # while no connection can be accepted
+    # after failures of accept(2) in a row, as each may concern a single connection only
     IMMEDIATE_ACCEPT_RETRIES = 16
 
     def accept_connections(self) -> None:
+        """Accepts connections until the listener is closed."""
         failures = 0  # in a row
         while self.listener is not None:
             if self.is_paused:
                 self.scheduler.wait(self.listener.fileno(), 0)
                 continue
             self.lacks_descriptors = not self.budget.acquire("client", RESERVED_OUTGOING)
-            # meanwhile answers end their connections, where nothing can be lost
+            # Meanwhile connections are closed with their answers, where no request can be lost.
             if self.lacks_descriptors:
                 self.scheduler.sleep_until(self.clock() + self.ACCEPT_RETRY_DELAY)
                 continue
@@ -189,7 +220,10 @@
             self.open_connection(sock).stream.known_empty_at = self.accept_wait_start
 
     def open_connection(self, sock, data=b"", usage=UNUSED) -> ClientConnection:
-        """Serves a connection whose place in the budget is taken; `data`: what was read of it before."""
+        """Serves a connection for which a file descriptor of the budget has been acquired.
+
+        `data`: bytes that were read from it before, and not used.
+        """
         self.last_number += 1
         stream = HttpStream(self.scheduler, sock, "client", self.budget, reads_responses=False)
         connection = ClientConnection(stream, self.last_number)
@@ -201,20 +235,21 @@
         return connection
 
     def mark_idle(self, connection) -> None:
-        """Between two requests, or before the first: it may be closed for others from here on."""
+        """Marks a connection as between requests, or before the first: it may be closed now."""
         connection.stream.idle_since = self.clock()
         self.idle_connections[connection.usage][connection] = True
 
     def mark_active(self, connection) -> None:
-        """A request begins on it, or it is over."""
+        """Marks a connection as in use, since a request begins, or as closed."""
         connection.stream.idle_since = 0
         self.idle_connections[connection.usage].pop(connection, None)
 
     def close_longest_idle(self, purpose: int, min_idle: int = 0) -> bool:
-        """Closes the connection that can best be spared for `purpose`, if one has stood long enough for its kind, and for
-        `min_idle` if it has been served.
+        """Closes the connection that is least needed, and returns whether there was one to close.
 
-        Danger: a request may be on its way on it. Danger: a silent crowd keeps all others out.
+        It has to have been idle for the span in MIN_IDLE_TIMES for its usage and `purpose`, and for
+        `min_idle` nanoseconds if it has carried a request: closed too early, it may have a request
+        in transit; never closed, many silent connections would keep all others out.
         """
         now = self.clock()
         for usage, spans in MIN_IDLE_TIMES.items():
@@ -232,7 +267,10 @@
         return False
 
     def close_connection(self, connection, reason: CloseReason) -> None:
-        """Ends a connection, for the first reason that it is given. The one place where this side does."""
+        """Closes a connection and counts the first reason given for it.
+
+        Every close by this side goes through here.
+        """
         check_invariant(
             reason not in IDLE_ONLY_REASONS or not connection.has_open_request,
             "closed_owing_nothing",
@@ -245,10 +283,11 @@
         connection.stream.close()
 
     def exceeds_idle_limit(self, connection) -> bool:
-        """Whether this connection is to end with its first answer, since as many stand idle as may and none can go.
+        """Whether this connection is to end with its first answer.
 
-        Danger: clients have a bounded number of connections to a relay. Those that idle here for nobody keep their
-        next requests out, while the relay itself is short of nothing.
+        So it is if the limit of idle connections is reached and none of them can be closed. Clients
+        have a bounded number of connections to a relay: those that stay idle without being used
+        again keep the clients' next requests out, although the relay itself is short of nothing.
         """
         if (
             len(self.idle_connections[USED_ONCE]) + len(self.idle_connections[REUSED])
@@ -258,6 +297,7 @@
         return not self.close_longest_idle(FOR_IDLE_LIMIT) and connection.usage is UNUSED
 
     def serve_connection(self, connection) -> None:
+        """Serves the requests of a connection until it ends."""
         reason = CloseReason.BY_CLIENT
         try:
             while self.serve_request(connection):
@@ -278,11 +318,14 @@
             )
 
     def serve_request(self, connection) -> bool:
-        """One request and its answer; whether the connection goes on."""
+        """Serves one request and returns whether the connection stays open.
+
+        Raises TimedOut and ConnectionBroken.
+        """
         stream = connection.stream
         try:
             if len(stream.buffer):
-                # requests sent in a row don't hold up the other connections
+                # Pipelined requests must not delay the other connections.
                 self.scheduler.yield_now()
             else:
                 self.mark_idle(connection)
@@ -328,17 +371,22 @@
         return True
 
     def close_after_answer(self, connection, reason: CloseReason) -> None:
-        """Ends a connection behind its last answer; till then it counts as busy, so that neither an end nor an upgrade cuts it.
+        """Ends a connection after its last answer.
 
-        Danger: closed over bytes that lie unread or are on their way, it is reset, and a 202 that was just written is lost with
-        it. What comes once the sending has ended is read away and never handed over, as its answer could not be written.
+        Until then it counts as busy, so that neither a shutdown nor an upgrade cuts it off. Closing
+        a connection with bytes that are unread or in transit would reset it, and a 202 that was
+        just written would be lost. What arrives once sending has ended is discarded and never
+        becomes a callback, as its answer could not be written.
         """
         connection.close_reason = reason
         self.counts[f"closed: {reason.value}"] += 1
         end_sending_and_drain(connection.stream, LINGER_TIMEOUT, MAX_LINGER_BYTES)
 
     def read_request(self, stream):
-        """A request's head and body."""
+        """Reads a request's head and body.
+
+        Raises MalformedMessage, with status 408 if they don't arrive in time.
+        """
         until = self.clock() + REQUEST_TIMEOUT
         try:
             head = stream.read_head(until)
@@ -354,6 +402,10 @@
             raise http.MalformedMessage(408, "the request did not get whole in time") from None
 
     def route_request(self, connection, head, body):
+        """Handles a request and returns status, headers and body of its answer.
+
+        For a callback it waits for the core's answer. Raises MalformedMessage.
+        """
         method, target, _ = head.start_line
         path = target.partition("?")[0]
         if path == "/health/ready":
@@ -379,9 +431,11 @@
         self.post(ev.Submitted(connection, callback))
         until = self.clock() + ANSWER_TIMEOUT
         while connection.answer is None:
-            # danger: the answer may have come in the same turn, and what it took on must not be withdrawn
+            # The answer may have come in the same turn: a callback that it accepted must not be
+            # withdrawn.
             if self.scheduler.wait(deadline=until) == TIMED_OUT and connection.answer is None:
-                # Withdrawn, it has surely not run. Danger: closed without an answer, it is lost to its client.
+                # Withdrawn, the callback certainly hasn't run. If the connection were closed
+                # without an answer, the request would be lost to its client.
                 self.post(ev.AnswerNotWritten(callback.id, connection))
                 connection.answer = connection.answer or (503, 0, "not answered")
         status, wait, reason = connection.answer
@@ -393,11 +447,13 @@
         )
 
     def estimated_read_delay(self, connection) -> int:
-        """Nanoseconds that the request read now on `connection` may have waited to be read; its time runs from when it was sent.
+        """How long, in nanoseconds, a request that is read now may have waited to be read.
 
-        Danger: what came in while this process stood still would be ended late. So would a first request that came while its
-        connection waited to be accepted, be it for want of descriptors.
-        Danger: right after a start nothing tells how long what is read has waited; it may be as long as any client waits.
+        The time limit of a callback runs from when the request was sent. Without this, the deadline
+        would be too late for a request that arrived while this process was stalled, and for a first
+        request that arrived while its connection waited to be accepted, for instance for lack of
+        file descriptors. Right after a start the delay is unknown and may be as long as any client
+        waits.
         """
         now = self.clock()
         span = now - connection.stream.arrived_after
@@ -406,13 +462,16 @@
         return min(span, MAX_READ_DELAY)
 
     def answer_request(self, effect) -> None:
-        """The core's answer to a request."""
+        """Passes the core's answer, an `ev.Answer`, to the task of its request."""
         connection = effect.client
         connection.answer = (effect.status, effect.retry_after, effect.reason)
         self.scheduler.resume(connection.task)
 
     def write_answer(self, connection, data) -> None:
-        """Writes the answer; the core learns whether the client was still there for one that it is taken on."""
+        """Writes an answer; if that accepts a callback, reports to the core whether it was written.
+
+        Raises ConnectionBroken and TimedOut.
+        """
         request_id, connection.request_id, is_accepted = (
             connection.request_id,
             None,
@@ -437,17 +496,21 @@
         if is_accepted:
             self.post(ev.AnswerWritten(request_id, connection))
 
-    # An upgrade: the connections pass to the next process
+    # Upgrade: the connections are handed over to the next process
 
     def pause_requests(self) -> None:
-        """Takes no connection and begins no request; what has begun is finished."""
+        """Stops accepting connections and requests; requests that have begun are finished."""
         self.is_paused = True
 
     def is_quiescent(self) -> bool:
+        """Whether no request waits for its answer."""
         return not any(connection.has_open_request for connection in self.connections)
 
     def take_back(self, rows, read_delay: int) -> None:
-        """Takes back what `hand_over` gave; what is read now may have waited for `read_delay`."""
+        """Takes back the rows of `hand_over` and resumes service after a failed upgrade.
+
+        `read_delay`: how long, in nanoseconds, a request that is read now may have waited.
+        """
         self.start_serving(read_delay)
         for row in rows:
             self.adopt_connection(*row)
@@ -458,13 +521,16 @@
             self.scheduler.cancel_wait(self.listener.fileno())
 
     def close_unanswered(self) -> None:
-        """Those whose answer can't be written in time: the core learns that they have not heard."""
+        """Closes connections whose answer can't be written in time.
+
+        The core then learns that those clients had no answer.
+        """
         for connection in self.connections:
             if connection.has_open_request:
                 self.close_connection(connection, CloseReason.HAND_OVER_UNANSWERED)
 
     def hand_over(self):
-        """The connections, as rows (message, body, socket). Nothing of them is used here any more."""
+        """Returns the connections as rows (message, body, socket), and stops using them here."""
         rows = []
         for connection in [
             connection for connection in self.connections if connection.stream.is_open
@@ -475,7 +541,10 @@
         return rows
 
     def adopt_connection(self, message, data, sock) -> None:
-        """A connection that an earlier process gave, or that comes back."""
+        """Serves a connection that an earlier process handed over, or that is taken back.
+
+        It is closed if no file descriptor is left for it.
+        """
         if not self.budget.acquire("client", RESERVED_OUTGOING):
             sock.close()
             return
@@ -485,10 +554,13 @@
             next((usage for usage in MIN_IDLE_TIMES if usage == message["kind"]), UNUSED),
         )
 
-    # The end
+    # Shutdown
 
     def stop_accepting(self) -> None:
-        """Takes what still waits to be accepted; then new connections are refused, kept ones end with an answer."""
+        """Accepts the connections that wait for it, then closes the listener.
+
+        From then on, new connections are refused, and existing ones end with their next answer.
+        """
         listener, self.listener, self.is_closing = self.listener, None, True
         if listener is None:
             return
@@ -504,13 +576,14 @@
                     or failures > self.IMMEDIATE_ACCEPT_RETRIES
                 ):
                     break
-                # danger: with one connection that is gone, those behind it would be reset
+                # One connection that is gone must not end the loop: those behind it would be reset.
                 continue
             self.open_connection(sock)
         self.listener = listener
         self.close_listener()
 
     def close_listener(self) -> None:
+        """Closes the listener, if there is one."""
         listener, self.listener = self.listener, None
         if listener is not None:
             self.scheduler.cancel_wait(listener.fileno())
@@ -518,8 +591,11 @@
             self.budget.release("listener")
 
     def close_idle_connections(self) -> None:
-        """Closes what no request is on its way on, so that none is read from here on but such as lie there already; those get
-        their answer. Danger: one that this process has read, and not answered, when it ends is lost to its client."""
+        """Closes the connections on which no request has arrived.
+
+        From then on only requests are read that have arrived already, and those are answered. A
+        request that has been read but not answered when this process ends is lost to its client.
+        """
         for connection in [
             connection
             for connection in self.connections
@@ -528,7 +604,7 @@
             self.close_connection(connection, CloseReason.SHUTDOWN_IDLE)
 
     def close_unfinished(self) -> None:
-        """What has not got whole by now is not read any more."""
+        """Closes the connections without a complete request."""
         for connection in [
             connection for connection in self.connections if not connection.has_open_request
         ]:
--- a/molehill/http/hosts.py
+++ b/molehill/http/hosts.py
@@ -1,4 +1,9 @@
-"""Calls to hosts: kept connections, one call at a time on each, and what came back read as an outcome."""
+"""Calls to hosts: persistent connections with one call at a time, and the outcomes of the calls.
+
+`Hosts.start_call` is handed an `ev.Call` by the core. Its task writes the call on a connection,
+reads the answer, and hands one or more `ev.CallEnded` with the outcome of each callback to `post`.
+In an upgrade, written calls and idle connections are handed over to the next process.
+"""
 
 from collections import Counter
 from dataclasses import replace
@@ -22,18 +27,22 @@
 )
 from molehill.runtime.trace import NO_TRACE, Step
 
-# looks at idle connections: an ended one gives its descriptor back soon
+# between checks of idle connections, so that one that has ended soon releases its file descriptor
 SWEEP_INTERVAL = 200 * MS
-# before a call is given back for which this machine lacked something
+# before the end of a call is reported that this machine had no resources for
 LOCAL_ERROR_DELAY = 20 * MS
-# for the rest of an answer whose outcome is known: pieces come close together
+# for the rest of an answer whose outcome is known: its pieces arrive close together
 REMAINDER_TIMEOUT = 250 * MS
-# no answer comes within it: a host has to read the call, do its work and write
+# No answer comes sooner: the host has to read the call, do its work and write.
 MIN_ANSWER_TIME = MS
 
 
 class RunningCall:
-    """A call that is out; `is_written`: its last byte has gone on its connection; `on_new_connection`: it is the first one on that."""
+    """A call in flight.
+
+    `is_written`: its last byte has been written to its connection. `on_new_connection`: it is the
+    first call on that connection.
+    """
 
     def __init__(self, call, started_at):
         self.call, self.started_at, self.is_written, self.on_new_connection = (
@@ -42,12 +51,18 @@
             False,
             False,
         )
-        self.written_at = None  # when its last byte went
-        self.unread_until = None  # given up unanswered: how long its host may still read it
-        self.awaits_host_close = False  # its connection is kept for the host's end
+        self.written_at = None  # when its last byte was written
+        self.unread_until = None  # after a timeout: until when its host may still read it
+        self.awaits_host_close = False  # its connection stays open until the host closes it
 
 
 class Hosts:
+    """Runs the calls to hosts.
+
+    `post` takes the events for the core; `refusal(number, now)` returns why a call must not be
+    written any more, or None.
+    """
+
     def __init__(self, scheduler, config, budget, post, refusal, figures):
         self.scheduler, self.config, self.budget, self.post, self.refusal = (
             scheduler,
@@ -59,11 +74,11 @@
         self.clock, self.figures, self.trace = scheduler.clock, figures, NO_TRACE
         self.idle_connections = IdleConnections(self.clock, config.settings.connection_idle)
         self.streams: dict[int, HttpStream] = {}  # call -> its connection
-        self.running_calls: dict[int, RunningCall] = {}  # calls out, by number
+        self.running_calls: dict[int, RunningCall] = {}  # calls in flight, by number
         self.aborted: set[int] = set()
-        # to the next process: nothing is begun any more; calls that may come back
+        # after the handover to the next process no call is started; these calls may be taken back
         self.is_handed_over, self.handed_over_calls = False, {}
-        self.calls_in_flight, self.counts = 0, Counter()  # calls out; outcomes by name, for the log
+        self.calls_in_flight, self.counts = 0, Counter()  # outcomes by name, for the log
         self.timed_out_calls = TimedOutCalls(scheduler, post, config.settings.max_calls)
         budget.idle_closers["host"] = (
             lambda: self.timed_out_calls.close_oldest() or self.idle_connections.close_oldest()
@@ -73,20 +88,25 @@
     # Idle connections
 
     def sweep_idle(self) -> None:
+        """Closes the idle connections that can't be used any more, now and every SWEEP_INTERVAL."""
         self.scheduler.call_at(self.clock() + SWEEP_INTERVAL, self.sweep_idle)
         self.idle_connections.close_unusable()
 
     def close_idle_connections(self, host) -> None:
+        """Closes the idle connections to a host."""
         self.idle_connections.close_host(host)
 
-    # An upgrade: the connections pass to the next process
+    # Upgrade: the connections are handed over to the next process
 
     def is_quiescent(self) -> bool:
+        """Whether every call in flight is written whole."""
         return all(running.is_written for running in self.running_calls.values())
 
     def hand_over(self):
-        """Rows (message, body, socket) for calls that are written and for idle connections. What is in none was not written
-        whole, and never ran. Nothing of it is used here any more."""
+        """Returns written calls and idle connections as rows (message, body, socket).
+
+        They are not used here any more. A call without a row was not written whole, and never ran.
+        """
         rows, self.is_handed_over, self.handed_over_calls = [], True, {}
         self.timed_out_calls.close_all()
         for number, running in self.running_calls.items():
@@ -116,12 +136,15 @@
                     sock,
                 )
             )
-            # its task here has nothing more to tell of it
+            # The call's task here has nothing left to report.
             self.handed_over_calls[number], call.callbacks = replace(call), []
         return rows + self.idle_connections.hand_over()
 
     def take_back(self, rows) -> None:
-        """Takes back what `hand_over` gave: the next process is gone, and what it had of these connections it never used."""
+        """Takes back the rows of `hand_over` after a failed upgrade.
+
+        The next process is gone, and never used the connections.
+        """
         self.is_handed_over, handed_over_calls, self.handed_over_calls = (
             False,
             self.handed_over_calls,
@@ -135,8 +158,11 @@
                 )
 
     def adopt_connection(self, message, data, sock, call=None) -> bool:
-        """A connection that an earlier process gave, or that comes back with its call; whether it can be used. Raises ValueError
-        and the like for no such row."""
+        """Continues a connection that was handed over, or that is taken back with its `call`.
+
+        Returns whether it can be used: without a file descriptor for it, it is closed. Raises
+        ConfigError, ValueError, KeyError or TypeError if the row is invalid.
+        """
         if message["k"] == "call":
             call = call or ev.Call(
                 message["n"],
@@ -158,7 +184,7 @@
             return True
         self.calls_in_flight += 1
         running = RunningCall(call, message["start"])
-        running.written_at = self.clock()  # by the earlier process, at the latest now
+        running.written_at = self.clock()  # the earlier process wrote it, at the latest now
         self.running_calls[call.number], self.streams[call.number] = running, stream
         self.scheduler.spawn(self._run_call, call, stream)
         return True
@@ -166,17 +192,19 @@
     # Calls
 
     def start_call(self, call) -> None:
+        """Starts a call in a task of its own; its end is reported by `ev.CallEnded`."""
         self.calls_in_flight += 1
         self.running_calls[call.number] = RunningCall(call, self.clock())
         self.scheduler.spawn(self._run_call, call)
 
     def abort_call(self, number) -> None:
+        """Aborts a call: no more of it is written, its connection is closed, no end is reported."""
         self.aborted.add(number)
         if number in self.streams:
             self.streams[number].close()
 
     def _run_call(self, call, stream=None) -> None:
-        """Carries a call to its end; `stream`: the connection on which an earlier process wrote it."""
+        """Runs a call to its end; `stream`: the connection on which an earlier process wrote it."""
         running = self.running_calls[call.number]
         started_at = running.started_at
         try:
@@ -190,7 +218,8 @@
             stays_open = stream is not None and (stream.idle_since or running.awaits_host_close)
             if stream is not None and not stays_open:
                 stream.close()
-            # a fault of this code: nothing is known, so each may have run
+            # Callbacks are left only after a fault of this code: with nothing known, each may have
+            # run.
             if call.callbacks:
                 self._report_same_end(
                     call, started_at, call.callbacks, ev.AttemptOutcome("", Result.RESET)
@@ -212,7 +241,11 @@
     def _report_ends(
         self, call, started_at, ends, advertised=(0.0, None), answered_at=None
     ) -> None:
-        """What became of these; `answered_at`: when the answer's head did, which is what its latency goes by."""
+        """Reports the outcomes of some or all callbacks of a call.
+
+        `answered_at`: when the head of the answer was read, which the latency is measured by;
+        without an answer the latency runs until now.
+        """
         ended = {end.id for end in ends}
         if self.trace.is_on:
             self._trace_ends(call, ends)
@@ -229,7 +262,11 @@
             )
 
     def _write_call(self, call, started_at):
-        """A connection with the whole request written on it, or None once the call's end is reported."""
+        """Writes the whole request and returns its connection, or None if the call has ended.
+
+        In the latter case its end has been reported. If an idle connection breaks before the last
+        byte, the call is written once more on a new one.
+        """
         until, running = call_deadline(call), self.running_calls[call.number]
         if not self._may_write(call, started_at):
             return None
@@ -257,9 +294,9 @@
                 if not self._may_write(call, started_at):
                     stream.close()
                     return None
-                # in the log before its first byte; where that fails, the call is aborted
+                # The attempt is logged before its first byte; if that fails, the call is aborted.
                 self.post(ev.CallConnected(call.number))
-                # Danger: the log was written anew or its disk was slow, and the call's time is up.
+                # While the log was rewritten or its disk was slow, the deadline may have passed.
                 if not self._may_write(call, started_at):
                     stream.close()
                     return None
@@ -269,7 +306,9 @@
                 self.figures.relayed += len(call.callbacks)
                 if self.trace.is_on:
                     self._trace_written(call, on_new_connection, until)
-                # More than the last answer, if no answer to this can have come. Danger: after a standstill in between, one can.
+                # Unread bytes are a surplus of the last answer if no answer to this call can have
+                # come yet. After a stall since the write one can have come, hence the look at the
+                # clock.
                 if (
                     not on_new_connection
                     and stream.has_unread()
@@ -281,21 +320,22 @@
                     )
                     return None
                 return stream
-            except NoDescriptor as error:  # this relay's own trouble: it tells nothing of the host
+            except NoDescriptor as error:  # this relay's shortage; it says nothing of the host
                 if stream is not None:
                     stream.close()
                 refusal = Refusal.NO_DESCRIPTOR
                 if isinstance(error, LocalError):
-                    # Danger: asked for anew as fast as it fails, it takes the whole core.
+                    # Without the delay the call would be started again as fast as it fails, which
+                    # would use up the whole CPU core.
                     refusal = Refusal.LOCAL_ERROR
                     self.scheduler.sleep_until(min(until, self.clock() + LOCAL_ERROR_DELAY))
                 self._report_same_end(call, started_at, call.callbacks, not_sent_end(refusal))
                 return None
             except (ConnectionBroken, TimedOut) as error:
                 if stream is not None:
-                    stream.close()  # before the last byte: it never ran
+                    stream.close()  # before the last byte, so the call never ran
                 if on_new_connection or isinstance(error, TimedOut):
-                    break  # else a kept connection broke: once more on a new one
+                    break  # otherwise an idle connection broke: retried on a new one
         self._report_same_end(
             call, started_at, call.callbacks, ev.AttemptOutcome("", Result.NO_CONNECT)
         )
@@ -325,9 +365,12 @@
             )
 
     def _may_write(self, call, started_at) -> bool:
-        """Whether its time is not up, and the relay was not told meanwhile to wait, or that the host drains; else the call's end.
+        """Whether a call may still be written; if not, reports its end.
 
-        Danger: a connection comes up in the very turn in which the call's time is up, and it is sent on after its end."""
+        It may not after its deadline, nor if a Retry-After or the draining of its host has become
+        known meanwhile. A connection can come up in the same turn in which the deadline passes, and
+        without this check the call would be sent after its end.
+        """
         refusal = self._refusal(call)
         if refusal is not None:
             self._report_same_end(call, started_at, call.callbacks, not_sent_end(refusal))
@@ -345,9 +388,8 @@
 
     def _build_request(self, call) -> bytes:
         now, host = self.clock(), "%s:%d" % call.address
-        wait = max(
-            1, -(-(call_deadline(call) - now) // MS)
-        )  # up: never less than what is really waited
+        # Rounded up: never less than the relay really waits.
+        wait = max(1, -(-(call_deadline(call) - now) // MS))
         headers = [("Req-Deadline-Ms", str(wait))]
         if not call.is_bundle:
             member = call.callbacks[0]
@@ -364,10 +406,12 @@
         return http.build_request("POST", "/events/bundle", host, headers, body)
 
     def _read_answer(self, call, stream, started_at) -> None:
-        """Reads the answer whole, as till then the host holds the call, and reports what it says.
+        """Reads the whole answer, as the host holds the call until then, and reports the outcome.
 
-        Danger: half an answer that turned away proves nothing. Of one that is spoilt, only a first line with 200 to a
-        call of one stands. So for that, and for an error, which proves as little, the rest is not waited for long.
+        Part of an answer that refuses a callback proves nothing. Of a malformed or truncated
+        answer, only a status line with 200 to a call with one callback counts. So for such a 200,
+        and for a 500, which proves as little as a broken answer, the rest is waited for only
+        REMAINDER_TIMEOUT.
         """
         until, answered_at, outcome_known, end = call_deadline(call), None, False, None
         try:
@@ -392,9 +436,9 @@
                     if outcome_known
                     else ev.AttemptOutcome("", Result.RESET)
                 )
-        # Danger: an answer that comes once the call's time is up is no delivery, whatever it says: the host has given the call up
-        # by then, as this relay told it to. What is read too late, since this relay stood still, may be such a one, and it
-        # tells nothing of the host.
+        # An answer after the call's deadline is no delivery, whatever it says: by then the host has
+        # given the call up, as this relay told it to. An answer that is read too late because this
+        # relay was stalled may be such a one, and says nothing about the host.
         known_at = answered_at if outcome_known and answered_at is not None else self.clock()
         if (end is None or end.result is not Result.TIMEOUT) and known_at > until:
             end = ev.AttemptOutcome("", Result.CANCELLED)
@@ -423,7 +467,12 @@
         self._report_same_end(call, started_at, call.callbacks, end, advertised, wait, answered_at)
 
     def _end_without_answer(self, call, stream, started_at, end, answered_at) -> None:
-        """No answer to it comes on that connection any more that would be worth having: nor may it carry another call."""
+        """Reports the end of a call whose answer did not come, came too late or is malformed.
+
+        No later answer on its connection would count, and the connection must not carry another
+        call. It is closed, but after a timeout with no byte of an answer it first waits for the
+        host to close it.
+        """
         if (
             end.result is Result.TIMEOUT
             and not stream.parser.start_line_bytes
@@ -435,8 +484,11 @@
         self._report_same_end(call, started_at, call.callbacks, end, answered_at=answered_at)
 
     def _await_host_close(self, call, stream) -> None:
-        """Ends the sending of a call with no byte of an answer. Its host may read it later; how much later is bounded as for a
-        connection that does not come up."""
+        """Ends the sending side after a timeout with no byte of an answer; awaits the host's close.
+
+        The host may read the call later; how much later is bounded by the same timeout as for a
+        connection that does not come up.
+        """
         running = self.running_calls[call.number]
         until = running.written_at + self.config.connect_time_out
         if call.number in self.aborted or until <= self.clock():
@@ -454,5 +506,8 @@
 
 
 def call_deadline(call) -> int:
-    """When a call is given up: as soon as one of its members' time is up. It is one call, to the host as well, and has one time."""
+    """The time at which a call is given up: the earliest deadline of its callbacks.
+
+    It is one call, for the host too, and so has one deadline.
+    """
     return min(member.deadline for member in call.callbacks)
