--- a/molehill/http/admin.py
+++ b/molehill/http/admin.py
@@ -1,7 +1,8 @@
-"""The operators' door: one more listener, for them alone; one call to a connection, then it is closed.
+"""The admin server: a separate listener for operators, with one request on each connection.
 
-Answers come from memory, so a call costs about as much as its bytes. What callers may take up is bounded: descriptors
-(set aside for them, so that clients and operators can't starve each other), bytes of a head, and time.
+Answers come from memory, so a request costs about as much as its bytes. What its users can take up
+is bounded: file descriptors (reserved, so that clients and operators can't starve each other),
+bytes of a head, and time.
 """
 
 import errno
@@ -19,29 +20,34 @@
     open_listener,
 )
 
-# for a whole call: twice what an answer may take, so a slow but honest one is served
+# for a whole request: twice what an answer may take, so that slow but genuine users are served
 REQUEST_TIMEOUT = 2 * SECOND
-# what comes behind a call is read away, so that the caller sees the answer
+# What follows a request is read and discarded, so that its sender sees the answer.
 LINGER_TIMEOUT, MAX_LINGER_BYTES = 200 * MS, 16 * 1024
-RETRY_DELAY = 20 * MS  # before the next try, where no connection can be taken
+RETRY_DELAY = 20 * MS  # while no connection can be accepted
 
 
 class AdminServer:
+    """Serves /ready and /metrics to operators."""
+
     def __init__(self, scheduler, address, is_ready, figures):
-        """`ready()`: whether this process can serve; `figures()`: their text."""
+        """Listens on `address`.
+
+        `is_ready()`: whether this process can serve clients; `figures()`: the text of the metrics.
+        """
         self.scheduler, self.clock = scheduler, scheduler.clock
         self.pages = {
             "/ready": lambda: (200, b"ready\n") if is_ready() else (503, b"not ready\n"),
             "/metrics": lambda: (200, figures().encode()),
         }
-        # reading: streams without a whole head, the oldest first
+        # `reading_streams`: those without a complete head, the oldest first
         self.connection_budget, self.reading_streams = DescriptorBudget(MAX_ADMIN_CONNECTIONS), {}
         self.address, self.listener, self.is_closed = address, None, False
         self.listen()
         scheduler.spawn_supervised(self.serve_listener)
 
     def listen(self) -> None:
-        """Raises OSError where waiting does not help."""
+        """Opens the listener unless a transient error prevents it; other OSErrors are raised."""
         try:
             self.listener = open_listener(self.scheduler.machine, self.address)
         except OSError as error:
@@ -49,14 +55,17 @@
                 raise
 
     def serve_listener(self) -> None:
+        """Opens the listener if that has failed, then accepts connections."""
         while self.listener is None and not self.is_closed:
             self.scheduler.sleep_until(self.clock() + RETRY_DELAY)
             self.listen()
         self.accept_connections()
 
     def accept_connections(self) -> None:
+        """Accepts connections until the listener is closed."""
         while self.listener is not None:
-            # Danger: callers that hold a connection with no whole call take every seat. The one that has had most time goes.
+            # Connections without a complete request could use up all file descriptors that are
+            # reserved here. The one that has had the most time is closed.
             if not self.connection_budget.acquire("admin"):
                 if self.reading_streams:
                     oldest = next(iter(self.reading_streams))
@@ -79,10 +88,11 @@
             )
             self.reading_streams[stream] = True
             self.scheduler.spawn(self.serve_connection, stream)
-            # what has come on it is read before another can take its seat
+            # What has arrived on it is read before another connection can displace it.
             self.scheduler.yield_now()
 
     def serve_connection(self, stream) -> None:
+        """Answers one request, then closes the connection."""
         until = self.clock() + REQUEST_TIMEOUT
         try:
             try:
@@ -104,6 +114,7 @@
             stream.close()
 
     def respond(self, head):
+        """Returns status and body of the answer to a request."""
         method, target, _ = head.start_line
         page = self.pages.get(target.partition("?")[0])
         if page is None:
@@ -111,6 +122,7 @@
         return page() if method == "GET" else (405, b"only GET is served here\n")
 
     def close(self) -> None:
+        """Closes the listener; connections in progress are still served."""
         listener, self.listener, self.is_closed = self.listener, None, True
         if listener is not None:
             self.scheduler.cancel_wait(listener.fileno())
--- a/molehill/http/callback_request.py
+++ b/molehill/http/callback_request.py
@@ -1,4 +1,4 @@
-"""What a client hands in, checked: from a request's headers and body to a callback, or the error that the client is told."""
+"""Parses a client's request: from headers and body to a callback, or the error for the client."""
 
 from typing import Optional
 
@@ -6,13 +6,16 @@
 from molehill.core import events as ev
 from molehill.http import parser as http
 
-MAX_TIME_LIMIT = 24 * 3600 * SECOND  # no deadline is taken as further off: keeps figures sane
-MAX_TEXT_LENGTH = 1024  # characters of ids and keys; they are held and logged
+MAX_TIME_LIMIT = 24 * 3600 * SECOND  # longer ones are cut to this, so that sums stay in range
+MAX_TEXT_LENGTH = 1024  # characters of ids and keys, which are kept and logged
 MAX_NUMBER_DIGITS = 15
 
 
 def parse_callback(headers: dict[str, str], body: bytes, config, now: int) -> ev.Submission:
-    """The callback that a request hands in at `now`, in nanoseconds; raises Malformed with what is wrong."""
+    """Returns the callback of a request that is read at `now`, in nanoseconds.
+
+    Raises MalformedMessage, whose text tells the client what is wrong.
+    """
     callback_id, kind = headers.get("req-id", ""), headers.get("req-kind", "")
     if not callback_id or not is_plain_text(callback_id):
         raise http.MalformedMessage(400, "Req-Id is missing or not an id")
@@ -43,7 +46,7 @@
 
 
 def parse_destination(headers: dict[str, str]) -> int:
-    """The last `dest` that the header tells; raises Malformed if it tells none."""
+    """Returns the last `dest` of the header; raises MalformedMessage if it has none."""
     destination = None
     for part in headers.get("x-consignee", "").replace(";", ",").split(","):
         name, _, value = part.strip().partition("=")
@@ -55,7 +58,10 @@
 
 
 def parse_time_limit(headers: dict[str, str], default: int) -> int:
-    """Nanoseconds in which the callback may be delivered, as told, or else as its class has them; raises Malformed."""
+    """Returns the callback's time limit in nanoseconds: the header's, or else `default`.
+
+    Raises MalformedMessage.
+    """
     if "req-deadline-ms" not in headers:
         return default
     milliseconds = parse_number(headers["req-deadline-ms"])
@@ -65,20 +71,20 @@
 
 
 def is_plain_text(text: str) -> bool:
-    """Whether a text may be an id or a key."""
+    """Whether a text can be an id or a key: printable ASCII without spaces, and not too long."""
     return (
         len(text) <= MAX_TEXT_LENGTH and text.isascii() and text.isprintable() and " " not in text
     )
 
 
 def parse_number(text: str) -> Optional[int]:
-    """A whole number of no more digits than any figure here has, or None."""
+    """Returns a non-negative whole number of at most MAX_NUMBER_DIGITS digits, or None."""
     return (
         int(text) if text.isascii() and text.isdigit() and len(text) <= MAX_NUMBER_DIGITS else None
     )
 
 
 def format_seconds(span: int) -> str:
-    """Nanoseconds as decimal seconds, rounded up to a millisecond."""
+    """Formats nanoseconds as decimal seconds, rounded up to a millisecond."""
     millis = -(-span // MS)
     return f"{millis // 1000}.{millis % 1000:03d}"
--- a/molehill/http/discovery.py
+++ b/molehill/http/discovery.py
@@ -1,4 +1,8 @@
-"""Discovery: the list that is known at the start, and the watch that follows it."""
+"""Discovery: the host list that is known at the start, and the watch that keeps it current.
+
+A watch is a long poll for changes since the list's version. Each list, update or failure is handed
+to `post` as an `ev.HostListReceived`.
+"""
 
 import json
 from functools import partial
@@ -13,17 +17,21 @@
 from molehill.invariants import check_invariant
 from molehill.runtime.stream import ConnectionBroken, PersistentConnection, TimedOut
 
-# a watch that went silent is noticed within this and the next figure
+# How long discovery may hold a watch open. A watch that gets no answer is noticed after this and
+# ANSWER_TIMEOUT.
 WATCH_HOLD = 10 * SECOND
-FIRST_WATCH_HOLD = MS  # of a process's first watch: whether there is news, at once
-ANSWER_TIMEOUT = 1500 * MS  # after the hold; what is told counts as known 2 s after it
-# A whole list has no hold: what it would tell counts as known 6 s after it fell silent. Longer each time, should it be so slow.
+FIRST_WATCH_HOLD = MS  # of a process's first watch, which asks for present changes only
+ANSWER_TIMEOUT = 1500 * MS  # after the hold; the rules count news as known 2 s after it
+# A request for the whole list is not held: its contents count as known 6 s after discovery fell
+# silent. The timeout grows with each try, in case discovery is that slow.
 WHOLE_LIST_TIMEOUT, MAX_WHOLE_LIST_TIMEOUT = 5 * SECOND, 20 * SECOND
-# after an answer that came at once with no news: half of what ends a watch
+# after an answer that came at once and without news: half of the interval that would end a watch
 MIN_WATCH_INTERVAL = 100 * MS
-# The list is the one body that grows with the fleet. Danger: bounded as the others, one of some hundreds of hosts is never read,
-# and the relay calls whom it knew at its start. An entry takes some 160 bytes, indented 300, so this holds 3,500 at the least;
-# beyond, a thirty-second of the memory: it stands there as bytes, as text and as entries at once.
+# The list is the only body that grows with the number of hosts. With the limit of other bodies, a
+# list of some hundreds of hosts would never be read, and the relay would call the hosts that it
+# knew at its start. An entry takes about 160 bytes, or 300 if indented, so the minimum holds at
+# least 3,500 hosts. Above that, the limit is a thirty-second of the memory, since the list is held
+# as bytes, as text and as entries at once.
 MIN_LIST_BYTES, LIST_MEMORY_DIVISOR = 1 << 20, 32
 CONDITION_BY_STATUS = {
     "active": interface.Condition.UP,
@@ -33,7 +41,11 @@
 
 
 def parse_list(text, config):
-    """The version, whether it is the whole list, and its entries; raises ValueError on anything else."""
+    """Returns a list's version, whether it is the whole list, and its hosts.
+
+    `text`: JSON, or the decoded object. Entries that can't be read are left out; raises
+    ValueError if it is not a list of hosts.
+    """
     try:
         data = json.loads(text) if isinstance(text, (bytes, str)) else text
         rows, version, is_whole = (
@@ -51,9 +63,9 @@
 
 
 def parse_host(row, config):
-    """One entry, or None for one that can't be read: it shall not take the others with it."""
+    """Returns the host of an entry, or None if it is invalid: that must not spoil the others."""
     try:
-        # an unknown one is a plain kind
+        # Unknown kinds share the number after the known ones, and count as a plain kind.
         kind = config.kinds.get(row.get("type"), len(config.kinds))
         host = ev.Host(
             str(row["name"]),
@@ -73,7 +85,7 @@
 
 
 def list_entry(host: ev.Host, config) -> dict:
-    """A host as an entry of the list."""
+    """Returns a host as an entry of the list, the inverse of `parse_host`."""
     name_of = (
         {n: name for name, n in config.kinds.items()},
         {n: name for name, n in config.zones.items()},
@@ -93,12 +105,14 @@
 
 
 class ResponseTimeout(TimedOut):
-    """Discovery took a call and tells nothing, or only half."""
+    """Discovery accepted a request, but did not answer it or not completely in time."""
 
 
 class Discovery:
+    """Follows discovery's host list and reports it to `post`."""
+
     def __init__(self, scheduler, config, budget, post, logged_list=None):
-        """`logged_list`: the list as the log has it, of molehill/core/host_list.py."""
+        """`logged_list`: the host list from the log, as in molehill/core/host_list.py."""
         self.scheduler, self.config, self.post, self.logged_list = (
             scheduler,
             config,
@@ -106,8 +120,8 @@
             logged_list,
         )
         self.clock, self.is_watching = scheduler.clock, False
-        self.has_answered = False  # has discovery answered this process, or one that handed over
-        self.version: Optional[int] = 0  # to watch from; None: the whole list is asked for
+        self.has_answered = False  # discovery has answered this process, or one that handed over
+        self.version: Optional[int] = 0  # to watch from; None: request the whole list
         make_stream = partial(
             HttpStream, max_body_bytes=max(MIN_LIST_BYTES, config.memory // LIST_MEMORY_DIVISOR)
         )
@@ -119,8 +133,12 @@
         )
 
     def restore_list(self, known=None) -> None:
-        """The list as this relay last had it: `known` by the process before it, else by the log and the file; none at all rather
-        than no start."""
+        """Posts the host list as this relay last had it.
+
+        That is `known` if the process before it has handed over a list, else the one from the log
+        and the file. An invalid list is replaced by an empty one, as the relay has to start
+        nevertheless.
+        """
         hosts: list[ev.Host] = []
         version: Optional[int] = 0
         self.has_answered = known is not None
@@ -139,21 +157,26 @@
         )
 
     def source(self) -> str:
+        """Returns discovery's address as text; versions are only comparable for one source."""
         return "%s:%d" % self.config.discovery
 
     def start_watch(self) -> None:
+        """Starts to watch, unless a watch is running."""
         if not self.is_watching:
             self.is_watching = True
             self.scheduler.spawn(self._run_watches)
 
     def change_address(self) -> None:
-        """Discovery has another address: its whole list at once, as it may count in another way."""
+        """Requests the whole list from the new address, which may count versions differently."""
         self.address_changes, self.version = self.address_changes + 1, None
         self.connection.close()
         self.start_watch()
 
     def _run_watches(self) -> None:
-        """Watches one after another, each at once after the last, until one fails; a move only begins anew."""
+        """Runs one watch after another until one fails, which is posted.
+
+        A failure because of a changed address only starts over.
+        """
         try:
             address_changes = None
             while address_changes != self.address_changes:
@@ -181,16 +204,18 @@
                 version, is_whole, hosts = self._request_list(timeout)
                 break
             except ResponseTimeout:
-                # Danger: the watch that takes its place may be silent too. Rested after that, as after a failure, the relay has
-                # no watch while what it misses counts as told. Each waits its whole time, so nobody is pressed by this.
+                # The next watch may get no answer either. Pausing after that, as after a failure,
+                # would leave the relay without a watch while the news it misses counts as known.
+                # Each try waits its whole timeout, so retrying at once puts no load on discovery.
                 self.connection.close()
                 timeout = min(2 * timeout, MAX_WHOLE_LIST_TIMEOUT)
-            except TimedOut:  # it never came up: once more at once
+            except TimedOut:  # the connection never came up: retried once, at once
                 self.connection.close()
                 if not may_retry:
                     raise
                 may_retry = False
-        # Danger: a discovery that counts anew would keep its news until it has caught up.
+        # A lower version means that discovery has restarted its count: it would withhold its news
+        # until its count has caught up with ours, so the whole list is requested.
         self.version = version if is_whole or version >= (known_version or 0) else None
         if is_whole or hosts or is_first:
             scope = interface.ListScope.WHOLE if is_whole else interface.ListScope.UPDATE
--- a/molehill/http/host_responses.py
+++ b/molehill/http/host_responses.py
@@ -1,4 +1,7 @@
-"""What a host's answer says: the outcome of its call, the wait and the limit that it tells. Pure functions over a head and a body."""
+"""What a host's answer says: the outcome of its call, its Retry-After and its advertised limit.
+
+Pure functions of a head and a body.
+"""
 
 import re
 from dataclasses import replace
@@ -9,9 +12,9 @@
 from molehill.core.permission import Refusal
 from molehill.interface import Result
 
-SECOND_DECIMALS = 9  # of a decimal second, down to a nanosecond
+SECOND_DECIMALS = 9  # decimal places of seconds, down to a nanosecond
 MAX_RETRY_AFTER = 3600 * SECOND
-# status -> outcome of a call of one; 200 in a call of several is read line by line
+# outcome of a call with one callback by status; a 200 to a bundle is read line by line
 END_BY_STATUS = {
     200: ev.AttemptOutcome("", Result.DELIVERED, completed=True),
     500: ev.AttemptOutcome("", Result.ERROR),
@@ -36,26 +39,32 @@
 )
 NO_CONNECTION_ROOM = ev.AttemptOutcome("", Result.NO_CONNECT)
 LINE_BUSY = ev.AttemptOutcome("", Result.NOT_SENT, reason=Refusal.LINE_BUSY)
-UNKNOWN_ANSWER = ev.AttemptOutcome(
-    "", Result.ERROR
-)  # an answer that the protocol does not know: it may have run
+# an answer that the protocol doesn't define: the callback may have run
+UNKNOWN_ANSWER = ev.AttemptOutcome("", Result.ERROR)
 
 
 def call_end(head, on_new_connection: bool) -> ev.AttemptOutcome:
-    """Of a call of one, or of several that fare alike. `on_new_connection`: the call was the first on its connection."""
+    """Returns the outcome that an answer gives to each callback of its call.
+
+    `on_new_connection`: the call was the first on its connection.
+    """
     if head.status != 503:
         return END_BY_STATUS.get(head.status, UNKNOWN_ANSWER)
     if head.headers.get("x-line-busy") == "1":
         return LINE_BUSY
-    # Danger: a host that holds as many connections as it takes says so by this, and only to those who have none. Taken for a
-    # limit that is used up, relays that hold idle ones go on holding them, and the others wait for room that is there.
+    # A host with as many connections as it accepts answers like this, and only to relays that have
+    # none. If that were read as a used-up limit, relays with idle connections would go on holding
+    # them, and the others would wait for room that is there.
     if not head.keep_alive and on_new_connection:
         return NO_CONNECTION_ROOM
     return END_BY_STATUS[503]
 
 
 def ends_by_line(members, body: bytes, wait: int) -> list[ev.AttemptOutcome]:
-    """Each callback's end by the answer's lines; one that no line names may have run. `wait`: told with the answer, in ns."""
+    """Returns each callback's outcome by the lines of a bundle's answer.
+
+    A callback that no line names may have run. `wait`: the answer's Retry-After in nanoseconds.
+    """
     reported = {}
     for line in body.decode("latin-1").splitlines():
         callback_id, _, word = line.strip().rpartition(" ")
@@ -67,13 +76,16 @@
             replace(end, id=member.id, retry_after=wait if end.result is Result.REFUSED else 0)
         )
     if wait and not any(end.retry_after for end in ends):
-        ends[0].retry_after = wait  # the wait binds whatever became of each
+        ends[0].retry_after = wait  # Retry-After applies whatever the outcomes
     return ends
 
 
 def advertised_limit(head, is_advertised: bool) -> tuple[float, Optional[float]]:
-    """The limit in calls a second and the share of it that is left; 0 and None where none is told or the report is spoilt, be it in
-    another field."""
+    """Returns the advertised limit in calls a second, and the share of it that is left.
+
+    `is_advertised`: whether the settings let hosts advertise one. Without a limit they are 0 and
+    None, and likewise if any field of the load report is malformed.
+    """
     report = head.headers.get("srv-load", "")
     if not is_advertised or not LOAD_REPORT.fullmatch(report):
         return 0.0, None
@@ -85,7 +97,7 @@
 
 
 def retry_after(head) -> int:
-    """The told wait in nanoseconds, whole or decimal seconds; 0 where none is told."""
+    """Returns Retry-After, whole or decimal seconds, in nanoseconds; 0 if there is none."""
     try:
         wait = parse_nanoseconds(head.headers.get("retry-after", "0"), SECOND_DECIMALS)
     except ConfigError:
--- a/molehill/http/idle_connections.py
+++ b/molehill/http/idle_connections.py
@@ -1,4 +1,4 @@
-"""Connections to hosts that stand idle between two calls: kept for the next one, closed once they are old, ended or in the way."""
+"""Idle connections to hosts: kept for the next call, closed when old, ended or displaced."""
 
 from typing import Callable, Optional
 
@@ -6,9 +6,10 @@
 
 
 class IdleConnections(dict[str, list[HttpStream]]):
-    """By host, the one used last at the end of each list.
+    """The idle connections by host; each list ends with the one that was used last.
 
-    `clock()`: nanoseconds; `max_idle_time`: for how long, in nanoseconds, one may stand idle before it is used no more.
+    `clock()` returns nanoseconds; a connection that has been idle for `max_idle_time` nanoseconds
+    is not used again.
     """
 
     def __init__(self, clock: Callable[[], int], max_idle_time: int):
@@ -16,12 +17,15 @@
         self.clock, self.max_idle_time = clock, max_idle_time
 
     def put(self, host: str, stream: HttpStream, since: int) -> None:
-        """Keeps a connection that has stood idle since then."""
+        """Adds a connection that has been idle since then."""
         stream.idle_since = since
         self.setdefault(host, []).append(stream)
 
     def take(self, host: str) -> Optional[HttpStream]:
-        """The one used last, if one is still good; those that are not are closed."""
+        """Removes and returns the usable connection that was used last, or None.
+
+        Unusable ones that it finds are closed.
+        """
         streams = self.get(host, [])
         while streams:
             stream = streams.pop()
@@ -31,10 +35,11 @@
         return None
 
     def is_unusable(self, stream: HttpStream) -> bool:
-        """Whether it is too old, or the host has ended it or sent what nobody asked for."""
+        """Whether it has been idle too long, or the host has ended it or sent unexpected bytes."""
         return stream.idle_since <= self.clock() - self.max_idle_time or not stream.is_quiet()
 
     def close_unusable(self) -> None:
+        """Closes the connections that can't be used again."""
         for host, streams in list(self.items()):
             for stream in [stream for stream in streams if self.is_unusable(stream)]:
                 streams.remove(stream)
@@ -43,11 +48,12 @@
                 del self[host]
 
     def close_host(self, host: str) -> None:
+        """Closes the connections to a host."""
         for stream in self.pop(host, ()):
             stream.close()
 
     def close_oldest(self) -> bool:
-        """Closes the one that has stood idle for longest, and tells whether there was one."""
+        """Closes the connection that has been idle longest, and returns whether there was one."""
         oldest = [(streams[0].idle_since, host) for host, streams in self.items() if streams]
         if not oldest:
             return False
@@ -56,7 +62,7 @@
         return True
 
     def hand_over(self) -> list[tuple[dict, bytes, object]]:
-        """Rows (message, body, socket) for the next process; none is left here."""
+        """Removes the connections and returns them as rows (message, body, socket)."""
         rows = []
         for host, streams in self.items():
             for stream in [stream for stream in streams if stream.is_quiet()]:
--- a/molehill/http/notices.py
+++ b/molehill/http/notices.py
@@ -1,4 +1,8 @@
-"""Notices to the platform: each is sent again until it is answered."""
+"""Final notices to the platform: each is sent again until it is answered.
+
+`Notices.send_notice` is handed an `ev.Notify` by the core; the ids of answered notices are handed
+to `post` in an `ev.NoticesDelivered`.
+"""
 
 import json
 
@@ -9,28 +13,31 @@
 from molehill.runtime.stream import ConnectionBroken, PersistentConnection, TimedOut
 from molehill.runtime.trace import NO_TRACE, Step
 
-# notices in one request: under 64 KiB with the longest ids, 1,024 characters
+# notices in one request: less than 64 KiB even with the longest ids, of 1,024 characters
 MAX_BATCH = 50
-# an answer comes at once; a lost request is sent again inside the rules' 300 ms
+# An answer normally comes at once; a lost request is sent again within the 300 ms of the rules.
 FIRST_TIMEOUT = 120 * MS
-# after a second quick failure, then doubled: a few more fit into the 300 ms
+# Applies from the second quick failure on, doubled each time: a few more tries fit into the 300 ms.
 RETRY_DELAY = 10 * MS
-# at most for an answer, half of it between tries, while none comes
+# The longest wait for an answer while none comes; half of it is the longest pause between tries.
 MAX_TIMEOUT = 2000 * MS
-MAX_IDLE_TIME = 2000 * MS  # a connection that stood longer is not used again
+MAX_IDLE_TIME = 2000 * MS  # a connection that was idle for longer is not used again
 
 
 class UnexpectedStatus(ConnectionBroken):
-    """Answered, but not by 204."""
+    """The platform answered with a status other than 204."""
 
 
 class Notices:
+    """Sends notices in batches on one connection, and again until they are answered."""
+
     def __init__(self, scheduler, config, budget, post):
         self.scheduler, self.config, self.post, self.answered_at = scheduler, config, post, 0
         self.clock, self.unanswered, self.task = scheduler.clock, {}, None
-        self.scheduled = {}  # those that may not go yet
+        self.scheduled = {}  # notices that must not be sent yet, by id
         self.is_backing_off, self.failed_at, self.handed_over = False, 0, {}
-        # when the notices that wait for their answer were begun; `was_cut_short`: cut short for a new one
+        # `sent_at`: when sending the present batch began; `was_cut_short`: whether the wait for its
+        # answer was cut short for a new notice
         self.sent_at, self.was_cut_short = 0, False
         self.trace = NO_TRACE
         self.connection = PersistentConnection(
@@ -38,7 +45,7 @@
         )
 
     def send_notice(self, effect) -> None:
-        """Sends it, at its time; told again with an earlier time, it goes then."""
+        """Sends a notice at its `not_before`; a later effect for the same id replaces that time."""
         if effect.id in self.unanswered:
             return
         if effect.not_before > self.clock():
@@ -57,7 +64,7 @@
         self.unanswered[effect.id] = effect
         if self.task is None:
             self.task = self.scheduler.spawn_supervised(self._send_all)
-        # danger: a new one shall not be late for what became of others
+        # The failures of other notices must not make a new one late.
         elif self.is_backing_off:
             self.scheduler.call_at(self.failed_at + RETRY_DELAY, self._retry_now)
         else:
@@ -68,22 +75,32 @@
             self.scheduler.resume(self.task)
 
     def _cut_wait_short(self, sent_at: int) -> None:
-        """Danger: after lost answers the others' notices wait longer for theirs than this one has time."""
+        """Stops waiting for the present batch's answer, so that a new notice is sent in time.
+
+        After lost answers the timeout of the others is longer than the rules leave for the new one.
+        """
         if self.task is not None and not self.is_backing_off and self.sent_at == sent_at:
             self.was_cut_short = True
             self.connection.close()
 
     def is_quiescent(self) -> bool:
-        """Whether none is out. Those that may not go yet pass to a next process by the log, like all that are owed."""
+        """Whether no notice waits for its answer.
+
+        Those that must not be sent yet reach the next process by the log, as all pending notices
+        do.
+        """
         return not self.unanswered
 
     @property
     def pending_count(self) -> int:
-        """Notices that are not answered yet."""
+        """The number of notices that are not answered yet."""
         return len(self.unanswered) + len(self.scheduled)
 
     def hand_over(self) -> None:
-        """What is not answered is the next process's to send; there it is owed by the log."""
+        """Stops sending.
+
+        The next process sends the unanswered notices, which it finds pending in the log.
+        """
         self.handed_over, self.unanswered, self.scheduled = (
             {**self.unanswered, **self.scheduled},
             {},
@@ -92,13 +109,13 @@
         self.connection.close()
 
     def take_back(self) -> None:
-        """Danger: the next process is gone, and what it was to send is still owed."""
+        """Sends the handed-over notices here after all, since the next process is gone."""
         handed_over, self.handed_over = self.handed_over, {}
         for notice in handed_over.values():
             self.send_notice(notice)
 
     def change_address(self) -> None:
-        """The platform has another address: what was posted and not answered goes there too."""
+        """Closes the connection: unanswered notices are sent again, to the new address."""
         self.connection.close()
 
     def _send_all(self) -> None:
@@ -112,12 +129,13 @@
             except (ConnectionBroken, TimedOut, http.MalformedMessage) as error:
                 self.connection.close()
                 failures += 1
-                # one that can't be read shall not hold up the others
+                # A notice that the platform declines must not hold up the others: they are sent one
+                # by one, and the declined one last.
                 if isinstance(error, UnexpectedStatus):
                     batch_limit = 1
                     if batch[0].id in self.unanswered:
                         self.unanswered[batch[0].id] = self.unanswered.pop(batch[0].id)
-                # the first failure may be a kept connection's: at once on a new one
+                # The first failure may be due to the idle connection: retried at once on a new one.
                 was_cut_short, self.was_cut_short = self.was_cut_short, False
                 if failures > 1 and not was_cut_short:
                     self.is_backing_off, self.failed_at = True, self.clock()
--- a/molehill/http/parser.py
+++ b/molehill/http/parser.py
@@ -1,11 +1,11 @@
-"""HTTP/1.1 heads: an incremental, bounded parser for both sides, and a writer."""
+"""HTTP/1.1 messages: an incremental, bounded parser of requests and responses, and a builder."""
 
 import re
 from dataclasses import dataclass
 from typing import Optional
 
 MAX_HEAD_BYTES = 16 * 1024  # ample for the few short headers of the protocol
-MAX_BODY_BYTES = 64 * 1024  # the protocol's bound
+MAX_BODY_BYTES = 64 * 1024  # the protocol's limit
 REASON_PHRASES = {
     200: "OK",
     202: "Accepted",
@@ -22,13 +22,15 @@
     505: "HTTP Version Not Supported",
 }
 CHUNK_LINE = re.compile(rb"[0-9A-Fa-f]{1,6}[ \t]*(;.*)?")
-MAX_CHUNK_LINE_BYTES = 256  # of a chunk's length and what may stand beside it
+MAX_CHUNK_LINE_BYTES = 256  # of a chunk's length and its extensions
 TOKEN_BYTES = frozenset(
     b"!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ"
 )
 
 
 class MalformedMessage(Exception):
+    """A message that breaks the protocol; `status` is the one to answer a request with."""
+
     def __init__(self, status: int, text: str):
         super().__init__(text)
         self.status = status
@@ -36,37 +38,40 @@
 
 @dataclass(slots=True)
 class Head:
+    """The start line and the headers of a message; header names are in lower case."""
+
     start_line: tuple[str, ...]  # method, target, version; or version, status, reason
     headers: dict[str, str]
     keep_alive: bool  # the connection may carry another message
-    content_length: Optional[int]  # of the body; None where no header tells it
-    is_chunked: bool = False  # the body comes in chunks, in answers only
+    content_length: Optional[int]  # bytes of the body; None without that header
+    is_chunked: bool = False  # the body comes in chunks; in responses only
 
     @property
     def status(self) -> int:
+        """The status code of a response."""
         return int(self.start_line[1])
 
 
 class Parser:
-    """Finds one head after another in a buffer, each time looking only at bytes that are new."""
+    """Finds one head after another in a buffer, and scans only the bytes that are new."""
 
     def __init__(self, buffer, reads_responses: bool, max_body_bytes: int = MAX_BODY_BYTES):
-        """`max_body_bytes`: bytes of a body."""
+        """`reads_responses`: responses, else requests; `max_body_bytes`: the limit of a body."""
         self.buffer, self.reads_responses, self.scanned, self.max_body_bytes = (
             buffer,
             reads_responses,
             0,
             max_body_bytes,
         )
-        self.raw_head = b""  # the head read last, until its message is whole
-        # the start of the head read last, also of one that was malformed
+        self.raw_head = b""  # the latest head, until its message is complete
+        # the first 64 bytes of the latest head, even if that was malformed
         self.start_line_bytes = b""
 
     def next_head(self) -> Optional[Head]:
-        """The next head once it is whole, else None; raises Malformed."""
+        """Returns the next head once it is complete, else None; raises MalformedMessage."""
         buffer = self.buffer
         while not self.reads_responses and buffer.peek(2) == b"\r\n":
-            buffer.take(2)  # empty lines before a request are passed over
+            buffer.take(2)  # empty lines before a request are skipped
             self.scanned = 0
         end = buffer.find(b"\r\n\r\n", max(0, self.scanned - 3))
         if end < 0:
@@ -82,12 +87,15 @@
         return self._parse_head(self.raw_head[:-4])
 
     def chunked_body(self) -> Optional[bytes]:
-        """A body in chunks once it is whole, else None; nothing is taken from the buffer before. Raises Malformed."""
+        """Returns a chunked body once it is complete, else None; raises MalformedMessage.
+
+        Until it is complete, nothing is taken from the buffer.
+        """
         data, at, in_trailer = self.buffer.peek(len(self.buffer)), 0, False
         parts: list[bytes] = []
         while (end := data.find(b"\r\n", at)) >= 0:
             line, at = data[at:end], end + 2
-            if in_trailer:  # the lines of a trailer, and an empty one
+            if in_trailer:  # the trailer's lines, up to an empty one
                 if not line:
                     self.buffer.take(at)
                     return b"".join(parts)
@@ -102,7 +110,7 @@
                 parts.append(data[at : at + size])
                 at += size + 2
                 if not b"\r\n".startswith(data[at - 2 : at]):
-                    raise MalformedMessage(400, "a chunk of another length")
+                    raise MalformedMessage(400, "a chunk's data is not followed by CRLF")
                 if at > len(data):
                     return None
         if len(data) - at > MAX_CHUNK_LINE_BYTES:
@@ -149,7 +157,8 @@
             version == "HTTP/1.1" or "keep-alive" in connection_options
         )
         is_chunked = "transfer-encoding" in headers
-        # Danger: with a length beside it, one side may take for a body what the other takes for the next request.
+        # With both headers, one side may read as a body what the other reads as the next request
+        # (request smuggling).
         if is_chunked and "content-length" in headers:
             raise MalformedMessage(400, "a length and a transfer encoding")
         if is_chunked and not (
@@ -170,6 +179,7 @@
 
 
 def cookie_value(headers: dict[str, str], name: str) -> Optional[str]:
+    """Returns the value of a request's cookie, without quotes, or None if it has no such cookie."""
     for part in headers.get("cookie", "").replace(",", ";").split(";"):
         key, separator, value = part.strip().partition("=")
         if separator and key == name:
@@ -189,10 +199,12 @@
 
 
 def build_request(method: str, target: str, host: str, headers=(), body: bytes = b"") -> bytes:
+    """Returns the bytes of a request; `headers` are pairs of name and value."""
     return _build_message(f"{method} {target} HTTP/1.1", [("Host", host), *headers], body)
 
 
 def build_response(status: int, headers=(), body: bytes = b"", close: bool = False) -> bytes:
+    """Returns the bytes of a response; `close`: it announces that the connection ends with it."""
     ending = [("Connection", "close")] if close else []
     return _build_message(
         f"HTTP/1.1 {status} {REASON_PHRASES.get(status, 'Status')}", [*headers, *ending], body
--- a/molehill/http/timed_out_calls.py
+++ b/molehill/http/timed_out_calls.py
@@ -1,8 +1,9 @@
-"""Calls that were given up with no byte of an answer: this side has ended its sending, and waits for the host's end.
+"""Calls that timed out with no byte of an answer, kept until the host closes their connections.
 
-The host's system may hold such a call unread. That the host ended the connection too, or answered after all, proves that it has
-read all that was sent; what it answers counts for nothing. Each connection is kept for a bounded span, and as many as may have a call
-at once at the most.
+This side has ended its sending. The host's operating system may still hold such a call unread. If
+the host closes the connection too, or answers after all, it has read all that was sent; the answer
+itself doesn't count. Each connection is kept for a bounded time, and no more of them than there may
+be calls at once.
 """
 
 import socket
@@ -14,22 +15,28 @@
 
 
 class TimedOutCalls:
-    """The connections of given-up calls, by the call's number, the oldest first."""
+    """The connections of timed-out calls, by the call's number, the oldest first."""
 
     def __init__(self, scheduler, post, max_streams: int):
-        """`post` takes an `ev.HostFinishedReading` for each call that was kept; `max_streams`: connections at once."""
+        """`post` takes an `ev.HostFinishedReading` for each call.
+
+        `max_streams` limits the connections that are kept at once.
+        """
         self.scheduler, self.post, self.max_streams = scheduler, post, max_streams
         self.streams: dict[int, HttpStream] = {}
         self.trace = NO_TRACE
 
     def await_host_close(self, number: int, ids: list[str], stream: HttpStream, until: int) -> None:
-        """Ends the sending of that call, and waits until then, in nanoseconds of the clock, for the host's end."""
+        """Ends the sending side of a call and waits for the host to close or answer.
+
+        `until`: when the wait ends, in nanoseconds of the clock.
+        """
         while len(self.streams) >= self.max_streams:
             self.close_oldest()
         try:
             stream.sock.shutdown(socket.SHUT_WR)
         except OSError:
-            pass  # it has ended already, which the first look at it tells
+            pass  # it has ended already, which the first read finds
         self.streams[number] = stream
         self.scheduler.spawn(self._wait_for_host, number, ids, stream, until)
 
@@ -40,7 +47,7 @@
         except TimedOut:
             host_ended = False
         except ConnectionBroken:
-            host_ended = stream.is_open  # else closed here, to make room
+            host_ended = stream.is_open  # otherwise it was closed here to make room
         finally:
             stream.close()
             self.streams.pop(number, None)
@@ -50,7 +57,7 @@
         self.post(ev.HostFinishedReading(number, host_ended))
 
     def close_oldest(self) -> bool:
-        """Makes room for another connection; whether there was one to close."""
+        """Closes the oldest connection to make room, and returns whether there was one."""
         for number, stream in self.streams.items():
             del self.streams[number]
             stream.close()
@@ -58,6 +65,6 @@
         return False
 
     def close_all(self) -> None:
-        """None is waited for any more."""
+        """Closes all connections: no host is waited for any more."""
         while self.close_oldest():
             pass
