--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' door: what it answers, that nobody who says nothing keeps others out, and the text of the figures."""
+"""The admin server: its answers, that silent connections block no others, and the metrics' text."""
 
 import re
 import socket
@@ -80,10 +80,10 @@
     for _ in range(3):
         assert b"200 OK" in drain(
             harness.call(b"GET /ready HTTP/1.1\r\n\r\n")
-        ), "at once, though all seats are held"
+        ), "answered at once, though all connections are taken"
     assert (
         drain(silent[0]) is None and drain(silent[-1]) == b""
-    ), "the one that had most time goes first"
+    ), "the connection that has had the most time is closed first"
     harness.net.advance(3 * SECOND)
     assert (
         drain(silent[-1]) is None
@@ -96,7 +96,7 @@
 def test_the_operators_page_lists_every_metric():
     page = (Path(__file__).parent.parent / "docs/operate/daily.md").read_text()
     figures = Metrics(["C"])
-    figures.not_sent[Refusal.TIME_UP] = 1  # each reason has a row once it was met
+    figures.not_sent[Refusal.TIME_UP] = 1  # a reason has a row once it has occurred
     lines = figures.render().replace("not_sent.time_up:", "not_sent.REASON:").splitlines()
     printed = {line.partition(":")[0] for line in lines}
     assert set(re.findall(r"^\| `(router\.[\w.]+)`", page, re.M)) == printed
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -1,4 +1,7 @@
-"""What has its end is not sent on, and a host told to drain gets nothing new, also over a restart: on real processes and by hand."""
+"""Completed callbacks are not sent again, and draining hosts get no new call, even after a restart.
+
+Some tests run real processes (molehill/soak), the others a relay with a manual clock.
+"""
 
 from concurrent.futures import ProcessPoolExecutor
 
@@ -16,19 +19,22 @@
 
 
 def rule_violations(plan, folder):
-    """What the run broke, with the stories of its requests."""
+    """Runs a plan and returns the rules that were broken, with the history of the requests."""
     findings, history = rig.play(plan, folder)
     return [
         (found.rule, found.text, history.about(found.id)) for found in findings if not found.void
     ]
 
 
-# Each of them broke a rule at least once, as the relay stood before issue 56 or 60
+# each of these seeds broke a rule at least once before issue 56 or 60 was fixed
 SOAK_SEEDS, SOAK_SECONDS, SOAK_PROCESSES = (1, 2, 3, 5, 9, 10, 14, 15, 16, 18, 22, 24), 9.0, 4
 
 
 def test_a_short_soak_breaks_no_rule(tmp_path):
-    """Hosts that fail and leave around ends of the relay, pauses, a crowd, a failing machine: molehill/soak."""
+    """Soaks with hosts that fail and leave around restarts of the relay (see molehill/soak).
+
+    The plans also have pauses, a crowd of clients, and a machine that fails.
+    """
     plans = [drawn(seed, SOAK_SECONDS) for seed in SOAK_SEEDS]
     folders = [tmp_path / str(seed) for seed in SOAK_SEEDS]
     with ProcessPoolExecutor(SOAK_PROCESSES) as pool:
@@ -36,7 +42,10 @@
 
 
 def test_a_draining_host_gets_no_call_after_a_restart(tmp_path):
-    """The process is killed 2 s after it was told; discovery is down as the next one starts, and its file is old."""
+    """The process is killed 2 s after it learned of the draining hosts.
+
+    When the next one starts, discovery is down and its list file is outdated.
+    """
     plan = Plan(1, span=7.0, clients=12)
     plan.drains = [Drain(1.0, 9.0, host) for host in HOSTS[::3]]
     plan.ends, plan.outages = [End(3.0, "SIGKILL")], [Outage(2.9, 3.0)]
@@ -44,7 +53,7 @@
 
 
 class SlowDisk(Disk):
-    """Takes so long for each write that holds `pattern`, on a clock that is moved by hand."""
+    """A disk that takes `delay`, on a manual clock, for each write that contains `pattern`."""
 
     clock, delay, pattern = None, 0, b'"k":"launch"'
 
@@ -78,12 +87,12 @@
         sent_time_limit = int(text.partition(b"Req-Deadline-Ms: ")[2].split(b"\r\n")[0])
         assert (
             sent_time_limit <= (time_left - 60 * MS) // MS
-        ), "what is left of its time as its first byte goes"
+        ), "the time that is left when its first byte is sent"
     harness.close()
 
 
 def test_a_notice_follows_its_timed_out_call_in_time(harness):
-    """Danger: they go by connections of their own, and nothing but time orders the two."""
+    """Notice and call use separate connections, so that only time orders the two."""
     client = harness.connect_client()
     client.send(REQUEST.replace(b"Content", b"Req-Deadline-Ms: 30\r\nContent") % b"id1")
     harness.read_until(client, b"HTTP/1.1 202")
@@ -96,14 +105,14 @@
 
 
 def test_an_answer_at_the_client_timeout_withdraws_nothing(harness):
-    """Danger: told 202 and withdrawn, a callback is lost."""
+    """A callback that is answered with 202 and also withdrawn would be lost."""
     clients, posted = harness.relay.clients, []
     clients.post = posted.append
     client = harness.connect_client()
     client.send(REQUEST % b"id1")
     harness.run_rounds()
     ((conn, _),) = clients.connections.items()
-    # in the turn in which the wait is over, behind it
+    # in the same loop turn in which the wait times out, after it
     harness.relay.scheduler.call_at(
         harness.clock.now + SECOND, clients.answer_request, ev.Answer(conn, "id1", 202)
     )
@@ -113,7 +122,10 @@
 
 
 def test_a_slow_disk_delays_no_answer_or_notice(tmp_path):
-    """Danger: a write for each callback of a batch, 20 ms each, stops the loop for as long as clients wait."""
+    """One disk write of 20 ms for each callback of a batch would stall the loop too long.
+
+    Clients would have given up waiting by then.
+    """
     harness = RelayHarness(tmp_path, SlowMachine)
     disk = harness.relay.store.disk
     disk.pattern, disk.delay = b"", 20 * MS
@@ -135,7 +147,7 @@
 
 
 def send_accepted(harness, callback_id, span, kind=b"notice"):
-    """A client that has been told that its request, with that span of time, is taken on."""
+    """Returns a client whose callback, with a time limit of `span`, has been answered with 202."""
     client = harness.connect_client()
     deadline = b"Req-Deadline-Ms: %d\r\nContent" % (span // MS)
     client.send(REQUEST.replace(b"Content", deadline).replace(b"notice", kind) % callback_id)
@@ -144,7 +156,7 @@
 
 
 def advance_to_notice(harness, callback_id, until, platforms):
-    """Moves the clock until the platform hears the notice of that id, or till then; whether it did."""
+    """Advances the clock to the notice for that id, at most to `until`; returns whether it came."""
     notices = b""
     while harness.clock.now < until:
         harness.advance(5 * MS)
@@ -156,7 +168,7 @@
 
 @pytest.mark.parametrize("host_closes", [True, False])
 def test_no_notice_overtakes_an_unread_call(harness, host_closes):
-    """Danger: the host's system takes connection and call at once, and its process reads them later."""
+    """The host's operating system accepts connection and call, and its process reads them later."""
     requested_at = harness.clock.now
     send_accepted(harness, b"id1", 300 * MS)
     due, platforms = requested_at + 300 * MS, []
@@ -167,11 +179,11 @@
         host.close()
         assert advance_to_notice(harness, b"id1", read_at + 20 * MS, platforms)
     else:
-        assert advance_to_notice(harness, b"id1", due + 300 * MS, platforms), "in time all the same"
+        assert advance_to_notice(harness, b"id1", due + 300 * MS, platforms), "and yet in time"
 
 
 def test_no_notice_overtakes_an_earlier_unread_call(harness):
-    """Danger: the last call ended by an answer, and an earlier one still lies in its host's system."""
+    """The last call was answered, and an earlier one is still unread in its host's system."""
     requested_at = harness.clock.now
     send_accepted(harness, b"id1", 1400 * MS)
     harness.accept(harness.host)
@@ -184,7 +196,7 @@
 
 
 def test_no_notice_overtakes_a_killed_process_s_unread_call(harness):
-    """Danger: only the log knows that a call was out, and the next process tells its end at once."""
+    """Only the log knows of the call in flight, and the next process reports its end at once."""
     send_accepted(harness, b"id1", 3000 * MS, b"plain")
     host, platforms = harness.accept(harness.host), []
     called_at = harness.clock.now
@@ -195,7 +207,7 @@
 
 
 def test_no_notice_directly_follows_a_call_written_late(harness, monkeypatch):
-    """Danger: the process is held up between its last look at the clock and the write."""
+    """The process is stalled between its last look at the clock and the write."""
     write = HttpStream.send
 
     def delayed_send(stream, data, until):
@@ -216,9 +228,9 @@
 @pytest.mark.parametrize(
     "notice_at, given_up, found",
     [
-        (11.0, False, 1),  # the relay still had the call out
-        (10.3, True, 1),  # neither behind the request's time nor a connect's time-out
-        (10.8, True, 0),  # 150 ms behind the request's time, with what a stand-in stamps late
+        (11.0, False, 1),  # the relay still had the call in flight
+        (10.3, True, 1),  # neither after the request's deadline nor a connect timeout
+        (10.8, True, 0),  # 150 ms after the deadline, plus a stand-in's late timestamps
         (12.0, True, 0),
         (None, True, 0),
     ],
@@ -259,7 +271,7 @@
 
 @pytest.mark.parametrize("late, void", [(0.9, True), (0.02, False), (None, False)])
 def test_an_end_during_a_rig_stall_is_void(late, void):
-    """Danger: both stand still at once, and the time that was missed lies before the moment in which the rig notices."""
+    """Rig and relay are stalled at once; the missed time lies before the rig notices the stall."""
     history = History()
     history.events = [HandedIn(8.0, "a", "idempotent", 0.1), Answered(8.01, "a", 202)]
     if late is not None:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,8 @@
-"""Heads and buffers: the same however the bytes are cut, bounded, and never anything worse than Malformed."""
+"""The parser of heads, and buffers.
+
+Heads are the same however the bytes are split, they are bounded, and the only error that bytes can
+raise is MalformedMessage.
+"""
 
 import pytest
 from hypothesis import given
@@ -24,7 +28,7 @@
 
 
 def parse_heads(data, cuts=(), reads_responses=False):
-    """Heads found when the bytes come in pieces."""
+    """Returns the heads that are found if the bytes arrive in pieces, split at `cuts`."""
     buffer = Buffer(100_000)
     parser, found, at = http.Parser(buffer, reads_responses), [], 0
     for cut in [*sorted(cuts), len(data)]:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""The network side over socket pairs: taking on, outcomes, connections, the list, notices, the budget."""
+"""The network side over socket pairs: clients, calls, discovery, notices and the budget."""
 
 import json
 import socket
@@ -129,7 +129,7 @@
     net.budget.kind_limits["client"] = 1
     assert net.budget.acquire("client") and closed[2:] == [
         "client"
-    ], "beyond its quota: one of its own"
+    ], "above its own limit, one of its kind is closed"
     net.budget.idle_closers.clear()
     assert not net.budget.acquire("discovery") and net.budget.total() == 3
 
@@ -198,7 +198,7 @@
     harness.answer_request(harness.net.events[-1], 503, 1234 * MS)
     text = drain(sock)
     assert text.startswith(b"HTTP/1.1 503 ") and b"Retry-After: 1.234\r\n" in text
-    assert len(harness.net.events) == 3, "nobody has to hear of a refusal"
+    assert len(harness.net.events) == 3, "the core needs no report of a refusal"
 
 
 @pytest.mark.parametrize("leave", [socket.socket.close, lambda sock: sock.shutdown(socket.SHUT_WR)])
@@ -206,7 +206,7 @@
     harness = ClientsHarness()
     sock = harness.connect()
     harness.exchange(sock, REQUEST % b"id1")
-    # the second as TCP shows it: its end has come, yet bytes still go
+    # A half-closed connection, as TCP shows it: its end has been read, yet bytes can be sent.
     leave(sock)
     harness.answer_request(harness.net.events[0])
     assert type(harness.net.events[1]) is ev.AnswerNotWritten and not harness.clients.connections
@@ -262,7 +262,7 @@
     harness.exchange(sock, REQUEST % b"id1")
     harness.exchange(partly, (REQUEST % b"id2")[:-1])
     harness.clients.is_closing = True
-    idle.send(REQUEST % b"id3")  # lies there unread
+    idle.send(REQUEST % b"id3")  # stays unread
     harness.clients.close_idle_connections()
     harness.net.settle()
     assert drain(silent) is None and len(harness.clients.connections) == 3
@@ -272,7 +272,7 @@
         assert b"Connection: close" in drain(asked) and drain(asked) is None
     assert (
         len(harness.clients.connections) == 3 and not harness.clients.is_quiescent()
-    ), "till they are gone too, what they still send is read away"
+    ), "until they close too, what they still send is discarded"
     sock.close(), idle.close()
     partly.send(b"b")
     harness.clients.close_unfinished()
@@ -293,7 +293,10 @@
 
 
 def test_a_stall_counts_against_requests_received_during_it():
-    """Danger: counted from when it is read, its end would come too late; a busy loop looks again at once."""
+    """Counted from when it is read, the deadline of a request would be too late.
+
+    A busy loop polls again at once, so that nothing is subtracted.
+    """
     harness = ClientsHarness()
     sock = harness.connect()
     harness.net.settle()
@@ -307,12 +310,12 @@
         drain(sock)
     assert (
         harness.net.scheduler.longest_stall == 5 * SECOND
-    ), "the worst is kept for whoever tells it"
+    ), "the longest is kept until it is reported"
 
 
 @pytest.mark.parametrize("kept", [True, False])
 def test_a_long_turn_counts_against_a_request_read_late(kept):
-    """Danger: the turn in which it is read stands still after its look at the descriptors."""
+    """Guards against a too late deadline: the loop turn stalls between its poll and the read."""
     harness = ClientsHarness(listen="127.0.0.1:1")
     harness.clients.config.listen = ("127.0.0.1", 0)
     harness.clients.listen()
@@ -335,7 +338,7 @@
 
 
 def test_a_long_turn_does_not_shorten_a_request_sent_late():
-    """Danger: it would be ended before its time."""
+    """Guards against a deadline that is too early, counted from before the request was sent."""
     harness, sent = ClientsHarness(), []
     sock = harness.connect()
     harness.net.settle()
@@ -357,7 +360,7 @@
     harness = ClientsHarness()
     harness.clients.start_serving()
     sock = harness.connect()
-    # later ones of a connection too
+    # this includes later requests of a connection
     for since, counted in ((0, 400 * MS), (900 * MS, 400 * MS), (200 * MS, 0)):
         harness.net.advance(since)
         harness.exchange(sock, REQUEST % b"id%d" % since)
@@ -373,9 +376,9 @@
     harness.clients.config.listen = ("127.0.0.1", 0)
     harness.clients.listen()
     harness.net.settle()
-    harness.net.clock.now += 5 * SECOND  # nobody came: that is no wait
+    harness.net.clock.now += 5 * SECOND  # nobody connected: this is no wait for accept
     harness.net.settle()
-    harness.net.budget.limit = 1  # no descriptor is to spare
+    harness.net.budget.limit = 1  # no file descriptor is left for clients
     late = socket.create_connection(harness.clients.listener.getsockname())
     late.setblocking(False)
     late.send(REQUEST % b"late")
@@ -409,7 +412,7 @@
     assert type(harness.net.events[1]) is ev.AnswerNotWritten
     assert drain(sock).startswith(
         b"HTTP/1.1 503 "
-    ), "withdrawn, it has surely not run; closed unanswered, it is lost"
+    ), "withdrawn, it certainly hasn't run; without an answer it would be lost"
 
 
 def test_the_longest_idle_connection_closes_but_none_with_a_request():
@@ -418,11 +421,11 @@
     for sock in (busy, second, first, crossed):
         harness.exchange(sock, b"GET /health/live HTTP/1.1\r\n\r\n")
         harness.net.clock.now += 200 * MS
-    assert not harness.clients.close_longest_idle(FOR_NEW_CONNECTION), "none has stood long"
+    assert not harness.clients.close_longest_idle(FOR_NEW_CONNECTION), "none has been idle for long"
     harness.net.clock.now += SECOND
     fresh = harness.connect()
     harness.exchange(busy, REQUEST % b"id1")
-    crossed.send(REQUEST % b"id2")  # came, and not read yet
+    crossed.send(REQUEST % b"id2")  # has arrived, is not read yet
     assert (
         harness.clients.close_longest_idle(FOR_NEW_CONNECTION)
         and drain(second) is None
@@ -434,7 +437,7 @@
     for event in list(harness.net.events):
         harness.answer_request(event)
     assert drain(busy).startswith(b"HTTP/1.1 202") and drain(crossed).startswith(b"HTTP/1.1 202")
-    assert drain(fresh) == b"", "its first request may be on its way"
+    assert drain(fresh) == b"", "its first request may be in transit"
 
 
 HEALTH_REQUEST = b"GET /health/live HTTP/1.1\r\n\r\n"
@@ -446,18 +449,18 @@
     bound = harness.clients.config.client_idle
     assert (
         16 <= bound <= sockets // 3 // 2
-    ), "at least half of what clients may hold is for what is under way"
+    ), "at least half of the clients' connections are for requests in progress"
     harness.net.budget.limit = sockets
     pool, crowd = [harness.connect() for _ in range(8)], []
     for sock in pool + pool:
         harness.exchange(sock, HEALTH_REQUEST)
-    # 200 a second: each asks once, and keeps its connection for good
+    # 200 new clients a second, each with one request on a connection that it never closes
     for n in range(4 * bound):
         for sock in [harness.connect()] + ([pool[n // 4 % 8]] if n % 4 == 0 else []):
             text = harness.exchange(sock, HEALTH_REQUEST)
             assert text.startswith(b"HTTP/1.1 200 ")
             if sock in pool:
-                assert b"close" not in text, "one that is asked on stays open"
+                assert b"close" not in text, "a connection that is used again stays open"
             else:
                 crowd.append(sock)
         harness.net.clock.now += 5 * MS
@@ -471,7 +474,7 @@
     harness.net.settle()
     assert not harness.clients.connections and not any(
         harness.clients.idle_connections.values()
-    ), "every map drops its rows"
+    ), "no map keeps entries of closed connections"
 
 
 def test_at_the_idle_limit_a_first_answer_closes_its_connection():
@@ -483,13 +486,13 @@
         assert b"close" not in harness.exchange(sock, HEALTH_REQUEST)
     late = harness.connect()
     assert b"Connection: close" in harness.exchange(late, HEALTH_REQUEST) and drain(late) is None
-    harness.net.clock.now += SECOND  # all may go now, but for the one that has a request open
+    harness.net.clock.now += SECOND  # all may be closed, except the one with an open request
     harness.exchange(pool[0], REQUEST % b"id1")
     assert b"close" not in harness.exchange(pool[1], HEALTH_REQUEST)
     fresh = [harness.connect(), harness.connect()]
     assert all(
         b"close" not in harness.exchange(sock, HEALTH_REQUEST) for sock in fresh
-    ), "another made room"
+    ), "an idle connection was closed instead"
     assert sum(drain(sock) is None for sock in pool[2:]) == 1 and drain(pool[0]) == b""
     harness.answer_request(harness.net.events[0])
     assert drain(pool[0]).startswith(b"HTTP/1.1 202 ")
@@ -503,7 +506,7 @@
     harness.net.budget.idle_closers["host"] = lambda: hosts_closed.append(1)
     harness.net.budget.limit = 4
     harness.net.advance(100 * MS)
-    assert not harness.net.budget.acquire("client"), "their first request may be on its way"
+    assert not harness.net.budget.acquire("client"), "their first request may be in transit"
     harness.net.advance(100 * MS)
     hosts_closed.clear()
     assert harness.net.budget.acquire("client") and drain(silent[0]) is None and not hosts_closed
@@ -515,13 +518,13 @@
         and not hosts_closed
     )
     harness.net.advance(2 * SECOND)
-    assert drain(silent[2]) is None, "owed an end within three seconds of connecting, crowd or not"
+    assert drain(silent[2]) is None, "must end within three seconds of connecting, in a crowd too"
     assert (
         drain(served) == b""
         and harness.net.budget.acquire("client")
         and harness.net.budget.acquire("client")
     )
-    assert drain(served) is None, "two seconds idle: nobody needs it"
+    assert drain(served) is None, "idle for two seconds, it may be closed"
 
 
 def test_endless_bodies_and_pipelined_requests_block_no_others():
@@ -540,7 +543,7 @@
         harness.net.scheduler.run_once(block=False)
     assert (
         turns < 200 and not harness.net.events and not harness.clients.connections
-    ), "an error or a close, and not at the end"
+    ), "an error or a close, before the body ends"
     sock, other = harness.connect(), harness.connect()
     sock.send(b"GET /nothing HTTP/1.1\r\n\r\n" * 100)
     other.send(b"GET /health/live HTTP/1.1\r\n\r\n")
@@ -573,7 +576,7 @@
     harness.answer_request(harness.net.events[0])
     assert b"Connection: close" in drain(sock) and drain(sock) is None
     harness.net.advance(250 * MS)
-    assert harness.net.budget.total() == 0, "whether or not the client closes too"
+    assert harness.net.budget.total() == 0, "even if the client does not close"
 
 
 # Calls to hosts
@@ -599,7 +602,7 @@
         self.net.post(event)
         if type(event) is ev.HostFinishedReading:
             return
-        # whatever did not go tells why, and nothing else does
+        # an outcome has a reason if and only if it is NOT_SENT
         assert all(
             (end.result is Result.NOT_SENT) is (end.reason is not None) for end in event.outcomes
         )
@@ -647,13 +650,17 @@
 
 @pytest.mark.parametrize("logged", [True, False])
 def test_a_call_is_logged_between_connect_and_first_byte(monkeypatch, logged):
-    """Danger: logged before, what still connects as the process is killed counts as run; logged after, what ran counts as untried."""
+    """The log entry of an attempt must lie between the connect and the first byte.
+
+    Logged earlier, a call that still connects when the process is killed counts as run; logged
+    later, a call that ran counts as untried.
+    """
     harness, seen = HostsHarness(monkeypatch), []
 
     def begun(call):
         seen.append((call, len(harness.peers), drain(harness.peers[-1])))
         if not logged:
-            harness.hosts.abort_call(call)  # as the core has it where the log takes nothing
+            harness.hosts.abort_call(call)  # as the core does if the log write fails
 
     harness.on_begun = begun
     harness.connect_errors.append(ConnectionBroken("refused"))
@@ -665,7 +672,7 @@
 
 
 def test_a_connection_up_at_the_call_deadline_carries_nothing(monkeypatch):
-    """Danger: both are found in one turn, and the callback is sent on after its end."""
+    """Guards against sending a callback after its end, if both are found in one loop turn."""
     harness = HostsHarness(monkeypatch)
     opened = stream_module.open_stream
 
@@ -770,7 +777,7 @@
     if connection_breaks:
         harness.peers[0].close()
         harness.net.settle()
-    # a wait that ends: at once where that changes nothing, else with the call's time
+    # The wait ends early if the rest can't change the outcome, otherwise at the call's deadline.
     else:
         harness.net.advance(300 * MS)
         assert bool(harness.net.events) == (status in (200, 500))
@@ -796,7 +803,7 @@
     (stream,) = harness.hosts.idle_connections["h1"]
     send = stream.send
     stream.send = lambda data, until: (send(data, until), harness.peers[2].send(response(200)))
-    harness.call("d")  # a copy that crosses the next request is no answer to it
+    harness.call("d")  # a duplicate that crosses the next request does not answer it
     assert [e.outcomes[0].result for e in harness.net.events[3:]] == [
         Result.RESET
     ] and not stream.is_open
@@ -873,23 +880,26 @@
     "stall_time,result", [(900 * MS, Result.DELIVERED), (1100 * MS, Result.CANCELLED)]
 )
 def test_an_answer_read_after_the_deadline_is_no_delivery(monkeypatch, bundle, stall_time, result):
-    """Danger: while this relay stood still the host gave the call up, and what it wrote then stands for nothing: taken for a
-    delivery, the callback never gets its end. It tells nothing of the host either: no time-out of its."""
+    """During the relay's stall the host gave the call up, so that a later answer doesn't count.
+
+    Counted as a delivery, the callback would never get its end. Nor is it a timeout of the host: it
+    says nothing about the host.
+    """
     harness = HostsHarness(monkeypatch)
     harness.call("a", "b", bundle=True, span=SECOND) if bundle else harness.call(span=SECOND)
     assert b"Req-Deadline-Ms: 1000\r\n" in drain(harness.peers[0])
     harness.peers[0].send(response(200, body=b"a delivered\r\nb delivered\r\n"))
-    harness.net.clock.now += stall_time  # no round between the answer and the end of the wait
+    harness.net.clock.now += stall_time  # no loop turn between the answer and the deadline
     harness.net.settle()
     (event,) = harness.net.events
     assert {end.result for end in event.outcomes} == {result}
     assert bool(harness.hosts.idle_connections) == (
         result is Result.DELIVERED
-    ), "the connection is of no further use"
+    ), "a cancelled call's connection is not reused"
 
 
 def send_then_stall(harness, send):
-    """This relay stands still right after a call's last byte, and finds its answer there when it goes on."""
+    """Stalls the relay right after a call's last byte; the answer has arrived when it goes on."""
 
     def sends(data, until):
         send(data, until)
@@ -903,7 +913,10 @@
     "span,result", [(SECOND // 2, Result.CANCELLED), (SECOND, Result.DELIVERED)]
 )
 def test_an_answer_received_during_a_stall_counts(monkeypatch, span, result):
-    """Danger: taken for more than the last answer, a callback that was delivered is called again; unless its time is up."""
+    """Taken for surplus bytes of the last answer, a delivered callback would be called again.
+
+    Only after the deadline the answer doesn't count.
+    """
     harness = HostsHarness(monkeypatch)
     harness.call()
     harness.reply(response(200))
@@ -967,7 +980,9 @@
     )
     (kept,) = harness.hosts.idle_connections["h1"]
     harness.net.clock.now += 9001 * MS
-    assert harness.hosts.idle_connections.take("h1") is None and not kept.is_open, "too long idle"
+    assert (
+        harness.hosts.idle_connections.take("h1") is None and not kept.is_open
+    ), "idle for too long"
 
 
 def test_idle_connections_close_in_time_and_on_request(monkeypatch):
@@ -1002,7 +1017,7 @@
     )
 
     def refuse_once_connected():
-        # the connection is up, and the wait came before it
+        # the connection is up, and the Retry-After has come before it
         harness.refusal = Refusal.TOLD_TO_WAIT if harness.peers else None
         return harness.refusal
 
@@ -1047,14 +1062,17 @@
 
 
 def test_a_host_out_of_connections_is_not_taken_for_full(monkeypatch):
-    """Danger: taken for a used-up limit, relays that hold idle connections go on holding them, and others find no room."""
+    """A host's answer that it has no room for another connection must not count as a used-up limit.
+
+    Otherwise relays with idle connections go on holding them, and others find no room.
+    """
     harness = HostsHarness(monkeypatch)
     for headers, result in (
         (b"Connection: close", Result.NO_CONNECT),
         (b"X: y", Result.REFUSED),
         (b"Connection: close", Result.REFUSED),
     ):
-        # the third goes on the second's connection, which has been let in
+        # the third call uses the second's connection, which the host has accepted
         harness.call()
         assert [end.result for end in harness.reply(response(503, headers)).outcomes] == [result]
     assert len(harness.peers) == 2
@@ -1076,7 +1094,7 @@
 
 
 def test_a_bundle_times_out_at_its_earliest_deadline(monkeypatch):
-    """Danger: what the host writes from then on is no delivery for the others either, however whole it is."""
+    """What the host answers after that is no delivery for the others either, even if complete."""
     harness = HostsHarness(monkeypatch)
     now = harness.net.clock()
     harness.hosts.start_call(
@@ -1092,7 +1110,9 @@
         )
     )
     harness.net.settle()
-    assert b"Req-Deadline-Ms: 1000\r\n" in drain(harness.peers[0]), "the host hears when that is"
+    assert b"Req-Deadline-Ms: 1000\r\n" in drain(
+        harness.peers[0]
+    ), "the host is sent the earliest deadline"
     harness.peers[0].send(response(200, body=b"a delivered\r\nb delivered\r\n")[:-4])
     harness.net.advance(1100 * MS)
     (event,) = harness.net.events
@@ -1101,7 +1121,7 @@
     ] and event.duration >= SECOND
     assert (
         harness.hosts.calls_in_flight == 0 and drain(harness.peers[0]) is None
-    ), "closed, so that the host knows too"
+    ), "closed, so that the host notices too"
 
 
 # Discovery and notices
@@ -1147,7 +1167,7 @@
     assert harness.net.events[0].hosts == [
         ev.Host("h1", ("10.1.0.18", 8081), 0, 0, 3, interface.Condition.UP, 1.0, "a", "m")
     ]
-    # the first asks for what there is now; the others wait for news
+    # The first watch asks for present changes; the others wait for news.
     assert harness.start_watch().startswith(
         b"GET /registry/instances?from=41&hold_ms=1 HTTP/1.1\r\n"
     )
@@ -1170,7 +1190,10 @@
 @pytest.mark.parametrize("indent", [None, 4])
 @pytest.mark.parametrize("chunked", [False, True])
 def test_a_list_of_a_thousand_hosts_is_read(monkeypatch, indent, chunked):
-    """Danger: bounded as a callback's body, a list of some hundreds of hosts is never read, and calls go to hosts of yesterday."""
+    """With the limit of a callback's body, a list of some hundreds of hosts would never be read.
+
+    Calls would then go to the hosts of an outdated list.
+    """
     harness = DiscoveryHarness(monkeypatch)
     harness.start_watch()
     for turn, status in enumerate(("active", "leaving", "active")):
@@ -1255,10 +1278,13 @@
 
 @pytest.mark.parametrize("begun", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{"])
 def test_a_silent_watch_restarts_at_once_each_time(monkeypatch, begun):
-    """Danger: the second rested, as after a failure, while what it missed counted as told."""
+    """Guards against a pause after the second silent watch, as after a failure.
+
+    The news that is missed meanwhile counts as known.
+    """
     harness = DiscoveryHarness(monkeypatch)
     harness.start_watch()
-    harness.reply_list(0)  # the first, which waits for nothing; those behind it wait for news
+    harness.reply_list(0)  # the first waits for nothing, the later ones for news
     harness.net.advance(discovery.MIN_WATCH_INTERVAL)
     for turn in range(1, 5):
         harness.peers[-1].send(begun)
@@ -1269,14 +1295,19 @@
             b"GET /registry/instances?from=0&hold_ms=10000 "
         )
     scopes = [event.scope for event in harness.net.events]
-    assert interface.ListScope.FAILED not in scopes, "no failure that the module would rest after"
+    assert (
+        interface.ListScope.FAILED not in scopes
+    ), "no failure, after which the decision module would pause"
     harness.connect_errors += [hosts.TimedOut()] * 2  # the next two never come up
     harness.net.advance(11_600 * MS)
     assert harness.net.events[-1].scope is interface.ListScope.FAILED
 
 
 def test_a_silent_whole_list_request_is_retried_in_time(monkeypatch):
-    """Danger: no wait was asked for, so six seconds after its silence the list counts as told; a slow one gets longer each time."""
+    """A request for the whole list is not held: its contents count as known 6 s into a silence.
+
+    A discovery that is slow gets a longer timeout each time.
+    """
     harness = DiscoveryHarness(monkeypatch)
     harness.start_watch()
     harness.discovery.change_address()
@@ -1296,7 +1327,7 @@
 def test_a_lower_list_version_makes_the_relay_request_the_whole_list(monkeypatch):
     harness = DiscoveryHarness(monkeypatch, {"index": 41, "endpoints": [entry()]})
     harness.start_watch()
-    harness.reply_list(41)  # the first, which waits for nothing
+    harness.reply_list(41)  # the first watch waits for nothing
     harness.net.advance(discovery.MIN_WATCH_INTERVAL)
     drain(harness.peers[0])
     harness.net.advance(9 * SECOND)
@@ -1360,7 +1391,7 @@
     assert len(harness.peers) >= 1 and not harness.net.events
     silent = len(harness.peers)
     harness.net.advance(3 * SECOND)
-    assert len(harness.peers) > silent, "no answer: once more on a new connection"
+    assert len(harness.peers) > silent, "without an answer it is sent again on a new connection"
     harness.reply(204)
     assert [e.ids for e in harness.net.events] == [["a"]]
 
@@ -1376,7 +1407,7 @@
 def test_a_new_notice_skips_the_backoff_of_others(monkeypatch):
     harness = NoticesHarness(monkeypatch)
     harness.notices.send_notice(ev.Notify("a", False, 0))
-    for _ in range(8):  # the platform takes each and loses its answer
+    for _ in range(8):  # the platform accepts each, and its answer is lost
         harness.net.settle()
         harness.peers[-1].close()
         harness.net.advance(700 * MS, step=5 * MS)
@@ -1397,12 +1428,12 @@
 
 
 def test_a_new_notice_cuts_a_long_answer_timeout_short(monkeypatch):
-    """Danger: after lost answers the wait for the next is longer than the rules leave the new notice."""
+    """After lost answers the timeout of others is longer than the rules leave for a new notice."""
     harness = NoticesHarness(monkeypatch)
     harness.send_notices("a")
     harness.net.advance(
         130 * MS, step=5 * MS
-    )  # its first try had no answer, and the second waits for 240 ms
+    )  # the first try had no answer, and the second waits for 240 ms
     harness.send_notices("b")
     harness.net.advance(130 * MS, step=5 * MS)
     assert b'"ref":"b"' in drain(harness.peers[-1])
@@ -1436,4 +1467,4 @@
     for work in (sleeper, busy, busy, busy):
         net.scheduler.spawn(work)
     net.settle()
-    assert woke == [180 * MS], "in the turn behind the look that found its time up"
+    assert woke == [180 * MS], "in the loop turn after the poll that found it due"
