--- a/molehill/runtime/buffer.py
+++ b/molehill/runtime/buffer.py
@@ -1,8 +1,10 @@
-"""The one buffer of a connection: grows as it needs, compacted in place, never beyond its bound."""
+"""The read buffer of a connection: grows on demand up to a limit and is compacted in place."""
 
 
 class Buffer:
-    INITIAL_SIZE = 4096  # holds the usual message whole
+    """Bytes that were read and not yet consumed, at most `max_size` of them."""
+
+    INITIAL_SIZE = 4096  # bytes; holds the usual message whole
 
     def __init__(self, max_size: int):
         self.max_size, self.data, self.start, self.end = (
@@ -16,7 +18,7 @@
         return self.end - self.start
 
     def free_space(self) -> memoryview:
-        """Room to read into; empty only when the bound is reached."""
+        """Returns the space to read into; it is empty only when the limit is reached."""
         if self.end == len(self.data):
             if self.start:
                 size = len(self)
@@ -27,17 +29,20 @@
         return memoryview(self.data)[self.end :]
 
     def mark_filled(self, count: int) -> None:
+        """Adds the first `count` bytes of the free space to the content."""
         self.end += count
 
     def find(self, pattern: bytes, offset: int = 0) -> int:
-        """Where `pattern` stands, counted from what is unread, or -1."""
+        """Returns the position of `pattern` from the first unread byte, or -1 if it is absent."""
         position = self.data.find(pattern, self.start + offset, self.end)
         return position - self.start if position >= 0 else -1
 
     def peek(self, count: int) -> bytes:
+        """Returns up to `count` unread bytes and leaves them in the buffer."""
         return bytes(self.data[self.start : min(self.end, self.start + count)])
 
     def take(self, count: int) -> bytes:
+        """Removes and returns up to `count` unread bytes."""
         taken = self.peek(count)
         self.start += len(taken)
         if self.start == self.end:
--- a/molehill/runtime/engine.py
+++ b/molehill/runtime/engine.py
@@ -1,4 +1,7 @@
-"""Drives the core: hands it events, carries out its effects in order, and has the module stepped in batches."""
+"""Drives the core: feeds it events, executes its effects in order, and steps the decision module.
+
+Steps of the decision module are batched: one takes all that came in since the one before.
+"""
 
 from collections import Counter
 
@@ -9,7 +12,10 @@
 
 
 class Engine:
+    """Connects the pure core to the log, the network and the scheduler."""
+
     def __init__(self, scheduler, core, store, log, period, log_clock):
+        """`period`: least span between two steps, in nanoseconds; `log_clock`: a LogClock."""
         self.scheduler, self.core, self.store, self.log, self.period = (
             scheduler,
             core,
@@ -18,19 +24,19 @@
             period,
         )
         self.clock, self.queue, self.is_busy = scheduler.clock, [], False
-        self.trace = NO_TRACE  # set when wiring
-        self.log_clock = log_clock  # of molehill/log_clock.py
+        self.trace = NO_TRACE  # replaced by Process if tracing is on
+        self.log_clock = log_clock
         self.last_step_at, self.planned_step_at = 0, None
-        # rows that the log would not take, and has to have before any other
+        # Rows that the log refused; they are written before any others.
         self.unwritten_rows = []
-        self.next_rewrite_at = 0  # no rewrite is tried sooner
-        self.refused_records = 0  # records refused since the log stopped taking them
-        # notices of ends that stand in rows that are not written yet, by id
+        self.next_rewrite_at = 0  # no rewrite is attempted before this time
+        self.refused_records = 0  # since the log began to refuse records
+        # Notices whose result is in a row that is not written yet, by callback id.
         self.withheld_notices: dict[str, ev.Notify] = {}
-        self.clients = self.hosts = self.notices = self.discovery = None  # set when wiring
+        self.clients = self.hosts = self.notices = self.discovery = None  # set by Process
 
     def post_event(self, event) -> None:
-        """Takes an event at once; one that comes from carrying out effects waits for the rest of them."""
+        """Handles an event at once, or, if effects are being executed, after the rest of them."""
         self.queue.append(event)
         if self.is_busy:
             return
@@ -44,21 +50,26 @@
             self.plan_step()
 
     def suspend(self) -> None:
-        """Nothing changes any more: what comes waits, for `resume` or for nobody."""
+        """Stops handling events. Later ones are queued until `resume`, which may never come."""
         self.is_busy = True
 
     def resume(self) -> None:
+        """Handles the events that were queued since `suspend`, and goes on."""
         self.is_busy = False
         self.post_event(ev.Step())
 
     def rewrite_log_if_needed(self) -> None:
+        """Rewrites the log if the store says that this pays off."""
         if self.store.needs_rewrite():
             self.rewrite_log()
 
     REWRITE_RETRY_DELAY = 100 * MS  # a failed rewrite costs as much as one that succeeds
 
     def rewrite_log(self) -> bool:
-        """Has the log written anew with what is owed now, unless that failed a moment ago; whether it was."""
+        """Rewrites the log with the state that is pending now; returns whether it was rewritten.
+
+        After a failure no other rewrite is attempted for REWRITE_RETRY_DELAY.
+        """
         if self.clock() < self.next_rewrite_at:
             return False
         rows = [(self.log_clock.as_record(self.scheduler.machine), b"")]
@@ -68,16 +79,19 @@
                 self.log.warning("log not rewritten", size=self.store.size)
             self.next_rewrite_at = self.clock() + self.REWRITE_RETRY_DELAY
             return False
-        # a rewrite has all that was unwritten
+        # The rewritten log contains all that was unwritten.
         self.next_rewrite_at, self.unwritten_rows = 0, []
         self.release_all_notices()
         return True
 
-    MAX_APPEND_BYTES = 256 * 1024  # bytes of bodies in one append, of several
+    MAX_APPEND_BYTES = 256 * 1024  # total of the bodies in an append of several records
 
     def execute_effects(self, effects) -> None:
-        """Writes all records of one event, then carries out the rest in order. Danger: with a write for each of a batch, a disk that
-        takes some ms for it stops the loop."""
+        """Writes all records of one event, then executes the other effects in order.
+
+        The records are written together: with a write for each record of a batch, a disk that
+        takes some milliseconds for a write would block the loop.
+        """
         rows: list[tuple[dict, bytes]] = []
         size = 0
         for effect in effects:
@@ -95,10 +109,11 @@
                 continue
             try:
                 self.execute_effect(effect, effect_type)
-            except Exception as error:  # the effects that come after it still go
+            except Exception as error:  # the effects after it are still executed
                 check_invariant(False, "effect", what=effect_type.__name__, error=repr(error))
 
     def execute_effect(self, effect, effect_type) -> None:
+        """Passes one effect, which is not an Append, to the part that executes it."""
         if effect_type is ev.Answer:
             self.trace.record(Step.ANSWERED, effect.id, status=effect.status, why=effect.reason)
             self.clients.answer_request(effect)
@@ -121,8 +136,12 @@
             self.log.info(effect.text)
 
     def notify(self, effect) -> None:
-        """Danger: an end that the log did not take is forgotten by a kill, and the next process tries what had its end. So it is told
-        once the log has it, or once its time is up, as nothing is tried behind that."""
+        """Sends a notice, unless its result is not logged yet and its deadline has not passed.
+
+        A kill would lose a result that the log refused, and the next process would attempt a
+        callback that had already ended. So the notice is sent once the result is logged, or at the
+        callback's deadline, after which nothing is attempted.
+        """
         if self.clock() < effect.deadline and any(
             record["k"] == "owed" and record["id"] == effect.id for record, _ in self.unwritten_rows
         ):
@@ -132,23 +151,28 @@
             self.notices.send_notice(effect)
 
     def end_unlogged(self, callback_id: str) -> None:
-        """The time is up of a callback whose end is withheld."""
+        """Handles the deadline of a callback whose notice is withheld."""
         if self.withheld_notices.pop(callback_id, None) is not None:
             self.post_event(ev.EndNotLogged(callback_id))
 
     def release_notice(self, callback_id: str) -> None:
+        """Sends the notice of this callback if it was withheld."""
         effect = self.withheld_notices.pop(callback_id, None)
         if effect is not None:
             self.notices.send_notice(effect)
 
     def release_all_notices(self) -> None:
+        """Sends all notices that were withheld."""
         for callback_id in list(self.withheld_notices):
             self.release_notice(callback_id)
 
-    MAX_NOT_SENT_LINES = 20  # of each reason, between two lines of counts
+    MAX_NOT_SENT_LINES = 20  # log lines for each reason, between two lines of counts
 
     def log_not_sent(self, effect) -> None:
-        """A line for each of the first callbacks of a reason, at error level for what a fault of this relay alone can bring about."""
+        """Logs a line for each of the first callbacks of a reason that were not sent.
+
+        The level is error for reasons that only a fault of this relay can cause.
+        """
         if self.core.refusal_counts[effect.reason] > self.MAX_NOT_SENT_LINES:
             return
         log_method = self.log.error if effect.reason.is_fault else self.log.debug
@@ -162,12 +186,15 @@
             launches=effect.attempts,
         )
 
-    # kinds of record that the core can do without: what they tell has not happened yet
+    # Kinds of record that the core can undo: what they announce has not happened yet.
     REVERSIBLE_KINDS = ("taken", "launch")
 
     def write_rows(self, rows) -> None:
-        """Writes records. Of what the log does not take, not even written anew, the reversible goes back to the core, and the rest
-        is written before anything else is."""
+        """Writes records, or rewrites the log if it refuses them.
+
+        If that fails too, reversible records are returned to the core by AppendFailed, and the
+        others are kept and written before any later record.
+        """
         if not rows:
             return
         rows = [(self.log_clock.to_log(record), body) for record, body in rows]
@@ -183,7 +210,10 @@
         )
 
     def try_write(self, rows) -> bool:
-        """Whether the log has these rows now, and with them all that was unwritten."""
+        """Appends these rows or rewrites the log; returns whether the log now contains them.
+
+        `rows` include all that was unwritten.
+        """
         if not self.store.append(rows) and not self.rewrite_log():
             return False
         self.unwritten_rows = []
@@ -194,10 +224,10 @@
             self.queue.append(ev.LogWritable())
         return True
 
-    LOG_PROBE_INTERVAL = 100 * MS  # while the log takes nothing
+    LOG_PROBE_INTERVAL = 100 * MS  # between attempts to write while the log refuses records
 
     def probe_log(self) -> None:
-        """Looks whether the log takes records again, as no call is begun until it does."""
+        """Tests whether the log accepts records again, since no call begins until it does."""
         if not self.refused_records:
             return
         if self.is_busy or not self.try_write(
@@ -208,7 +238,7 @@
             self.post_event(self.queue.pop(0))
 
     def plan_step(self) -> None:
-        """Has the module stepped as soon as the period allows if anything came in, else when it is due."""
+        """Schedules the next step: if events came in, once the period allows, else when due."""
         due = self.clock() if self.core.inbox else self.core.next_step_at()
         if due is None:
             return
@@ -218,14 +248,16 @@
             self.scheduler.call_at(due, self.run_step, due)
 
     def run_step(self, planned_at) -> None:
+        """Posts the step that was planned for this time."""
         if planned_at != self.planned_step_at:
-            return  # an earlier one took its place
+            return  # replaced by an earlier step
         self.planned_step_at, self.last_step_at = None, self.clock()
         self.post_event(ev.Step())
 
-    COUNTS_INTERVAL = 10_000 * MS  # a line on what was done, unless nothing was
+    COUNTS_INTERVAL = 10_000 * MS
 
     def log_counts_periodically(self) -> None:
+        """Logs the counts of each interval and resets them; an idle interval gets no line."""
         self.scheduler.call_at(self.clock() + self.COUNTS_INTERVAL, self.log_counts_periodically)
         outcome_counts, self.hosts.counts = dict(sorted(self.hosts.counts.items())), Counter()
         client_counts, self.clients.counts = (
@@ -251,8 +283,9 @@
                 broken=sum(breach_counts.values()),
             )
 
-    FLUSH_INTERVAL = 100 * MS  # for log lines that nobody took at once
+    FLUSH_INTERVAL = 100 * MS  # for log lines that the descriptor did not take at once
 
     def flush_periodically(self, sink) -> None:
+        """Writes the queued log lines of the sink once per interval."""
         self.scheduler.call_at(self.clock() + self.FLUSH_INTERVAL, self.flush_periodically, sink)
         sink.flush()
--- a/molehill/runtime/kernel.py
+++ b/molehill/runtime/kernel.py
@@ -1,6 +1,7 @@
-"""The machine that a relay is handed: clock, pollers, sockets and disk, here those of the kernel.
+"""The machine interface of a relay, implemented by the kernel: clocks, pollers, sockets and disk.
 
-The emulator hands in one of its own with the same methods; nothing above this file asks the kernel itself.
+The emulator passes its own implementation with the same methods; the layers above this module
+make no system calls of their own.
 """
 
 import errno
@@ -10,12 +11,12 @@
 import socket
 import time
 
-# one text from boot to boot: as long the monotonic clock runs on
+# Constant from one boot to the next, which is as long as the monotonic clock runs on.
 BOOT_ID_PATH = "/proc/sys/kernel/random/boot_id"
 
 
 def read_boot_id() -> str:
-    """Tells this boot of the machine from others; empty where the kernel does not say."""
+    """Returns the id of this boot of the machine, or "" where the kernel gives none."""
     try:
         with open(BOOT_ID_PATH, encoding="ascii") as file:
             return file.read().strip()
@@ -27,7 +28,7 @@
 
 
 class Disk:
-    """The few calls that the log makes; each raises OSError as the kernel's own."""
+    """The file operations that the log needs; each raises OSError as the system call does."""
 
     @staticmethod
     def makedirs(folder: str) -> None:
@@ -51,7 +52,7 @@
 
     @staticmethod
     def write(fd: int, data) -> int:
-        """How many bytes went in, which may be fewer than there are."""
+        """Returns the number of bytes written, which may be fewer than were given."""
         return os.write(fd, data)
 
     @staticmethod
@@ -64,14 +65,17 @@
 
     @staticmethod
     def open(path: str, truncate: bool = False) -> int:
-        """A descriptor to read and write by; `truncate`: empty, whatever was there."""
+        """Opens or creates a file for reading and writing; returns its descriptor.
+
+        `truncate` empties an existing file.
+        """
         return os.open(
             path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | (os.O_TRUNC if truncate else 0), 0o600
         )
 
     @staticmethod
     def is_same_file(path: str, fd: int) -> bool:
-        """Whether that path is the open file."""
+        """Returns whether the path names the open file."""
         return os.path.samestat(os.stat(path), os.fstat(fd))
 
     @staticmethod
@@ -81,8 +85,11 @@
 
     @staticmethod
     def lock(folder: str):
-        """A descriptor that locks the folder and lets go with its last copy, at the latest when its owners die; None while
-        another process has it."""
+        """Locks the folder, which is created if missing; returns the descriptor of the lock.
+
+        Returns None while another process has the lock. The lock is released when the last copy of
+        the descriptor is closed, at the latest when the processes that hold copies have ended.
+        """
         os.makedirs(folder, exist_ok=True)
         fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
@@ -94,13 +101,18 @@
             if error.errno not in UNSUPPORTED_LOCK_ERRNOS:
                 os.close(fd)
                 raise
-            # a file system without locks: nobody else can be told from here, as ever before
+            # The file system has no locks, so another process cannot be detected; go on without.
         return fd
 
 
 class Kernel:
-    """`clock()`: nanoseconds of the monotonic clock, by which all spans go; `wall_clock()`: Unix time in nanoseconds, which may be
-    stepped at any moment: for what is shown, and carried over a reboot; `boot_id`: changes when the monotonic clock begins anew."""
+    """The machine as the kernel provides it.
+
+    `clock()`: the monotonic clock in nanoseconds, which measures all spans.
+    `wall_clock()`: Unix time in nanoseconds. It may be stepped at any moment, so it serves only for
+    times that are shown and for times that outlast a reboot.
+    `boot_id`: changes when the monotonic clock starts again.
+    """
 
     def __init__(self, clock=None, wall_clock=None):
         self.clock, self.wall_clock = clock or time.monotonic_ns, wall_clock or time.time_ns
@@ -108,26 +120,31 @@
 
     @staticmethod
     def poller():
+        """Returns a new poll object."""
         return select.poll()
 
-    close = staticmethod(os.close)  # of a descriptor by its number
+    close = staticmethod(os.close)  # takes a descriptor number
 
-    # in the folder that lasts: where the next process finds this one
+    # File in the state folder by which the next process finds this one.
     UPGRADE_SOCKET = "upgrade"
 
     def listen_for_successor(self, folder: str) -> socket.socket:
-        """A listener there for the next process of this relay; only for the owner of the folder's lock."""
+        """Returns a listener for the next process of this relay; raises OSError.
+
+        Only the process that has the folder's lock may call this.
+        """
         path = os.path.join(folder, self.UPGRADE_SOCKET)
         if os.path.lexists(path):
             os.unlink(path)
         return self._unix_socket(folder, lambda sock, address: (sock.bind(address), sock.listen(1)))
 
     def connect_to_predecessor(self, folder: str) -> socket.socket:
-        """A connection to the process that serves now; raises OSError."""
+        """Returns a connection to the process that serves now; raises OSError."""
         return self._unix_socket(folder, lambda sock, address: sock.connect(address))
 
     def _unix_socket(self, folder, bind_or_connect) -> socket.socket:
-        # by way of the folder's descriptor: a path of its own may be longer than a Unix address holds
+        # The address goes through the folder's descriptor, because the folder's own path may be
+        # longer than a Unix socket address can hold.
         fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
@@ -142,17 +159,19 @@
 
     @staticmethod
     def socket_from_descriptor(fd: int) -> socket.socket:
-        """The socket that a passed descriptor is."""
+        """Returns the socket object for a descriptor that another process passed."""
         return socket.socket(fileno=fd)
 
     @staticmethod
     def udp_socket(address) -> socket.socket:
+        """Returns a datagram socket of the address's family."""
         return socket.socket(
             socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_DGRAM
         )
 
     @staticmethod
     def tcp_socket(address) -> socket.socket:
+        """Returns a stream socket of the address's family."""
         return socket.socket(
             socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM
         )
--- a/molehill/runtime/log.py
+++ b/molehill/runtime/log.py
@@ -1,4 +1,7 @@
-"""structlog to standard error that never blocks the loop: lines wait in a bounded row while nobody reads."""
+"""structlog output to standard error that never blocks the loop.
+
+Lines wait in a bounded queue while nobody reads them.
+"""
 
 import os
 import select
@@ -7,13 +10,13 @@
 
 import structlog
 
-# a pipe that polls as writable takes so many bytes whole (PIPE_BUF)
+# A pipe that polls as writable accepts this many bytes without blocking (PIPE_BUF).
 MAX_WRITE_BYTES = 4096
-MAX_QUEUED_LINES = 1000  # beyond it the oldest are dropped and counted
+MAX_QUEUED_LINES = 1000  # above this the oldest lines are dropped and counted
 
 
 class Sink:
-    """What structlog's logger writes to."""
+    """The output of structlog's logger: a descriptor and the lines that it has not taken yet."""
 
     def __init__(self, fd: int = 2):
         self.fd, self.partial_line, self.dropped = fd, b"", 0
@@ -22,6 +25,7 @@
         self.poller.register(fd, select.POLLOUT)
 
     def msg(self, line: str) -> None:
+        """Queues a line and writes what the descriptor accepts now."""
         if len(self.lines) >= MAX_QUEUED_LINES:
             self.lines.popleft()
             self.dropped += 1
@@ -31,7 +35,7 @@
     log = debug = info = warning = error = critical = exception = msg
 
     def flush(self) -> bool:
-        """Writes what the descriptor takes now; whether all is written."""
+        """Writes what the descriptor accepts now; returns whether all lines are written."""
         while self.partial_line or self.lines:
             self.partial_line = self.partial_line or self.lines.popleft()
             if not any(mask & select.POLLOUT for _, mask in self.poller.poll(0)):
@@ -42,14 +46,17 @@
                 ]
             except BlockingIOError:
                 return False
-            except OSError:  # nobody will ever read it
+            except OSError:  # the reader is gone for good
                 self.partial_line = b""
                 self.lines.clear()
         return True
 
 
 def make_logger(sink, name: str, clock):
-    """structlog on a sink, with the relay's own clock (nanoseconds, Unix time) in each line."""
+    """Returns a structlog logger that writes to a sink and has the relay's name in each line.
+
+    `clock()` gives the time of each line: Unix time in nanoseconds.
+    """
 
     def add_timestamp(_, __, fields):
         fields["timestamp"] = (
--- a/molehill/runtime/message_channel.py
+++ b/molehill/runtime/message_channel.py
@@ -1,4 +1,7 @@
-"""Messages with descriptors between two processes of one relay, over a Unix socket that keeps each message whole."""
+"""Messages with file descriptors between two processes of one relay.
+
+They go over a Unix socket of type SOCK_SEQPACKET, which keeps message boundaries.
+"""
 
 import json
 import socket
@@ -6,11 +9,13 @@
 from molehill.runtime.scheduler import CANCELLED, READ, READY, WRITE
 from molehill.runtime.stream import ConnectionBroken, TimedOut
 
-# of a message: a connection's whole buffer and some; less than a socket takes at once
+# Room for a connection's whole buffer and a header; less than a socket accepts at once.
 MAX_MESSAGE_BYTES = 160 * 1024
 
 
 class MessageChannel:
+    """Sends and receives messages, each a JSON object, a body and at most one descriptor."""
+
     def __init__(self, scheduler, sock):
         sock.setblocking(False)
         self.scheduler, self.sock = scheduler, sock
@@ -23,7 +28,10 @@
             raise TimedOut()
 
     def send(self, message: dict, deadline: int, body: bytes = b"", fd=None) -> None:
-        """Sends it whole, a descriptor with it; raises Broken or Late."""
+        """Sends one message, with a descriptor if given; raises ConnectionBroken or TimedOut.
+
+        `deadline`: nanoseconds on the scheduler's clock.
+        """
         data = json.dumps(message, separators=(",", ":")).encode("ascii") + b"\n" + body
         while True:
             try:
@@ -38,7 +46,10 @@
                 raise ConnectionBroken(str(error)) from None
 
     def receive(self, deadline: int):
-        """The next message, its body, and its descriptor or None; raises Broken or Late."""
+        """Returns the next message, its body, and its descriptor or None.
+
+        Raises ConnectionBroken, also for malformed messages, or TimedOut at the deadline.
+        """
         while True:
             try:
                 data, fds, flags, _ = socket.recv_fds(self.sock, MAX_MESSAGE_BYTES, 4)
@@ -63,7 +74,10 @@
         return message, body, fds[0] if fds else None
 
     def drain_after_shutdown(self) -> list[dict]:
-        """Ends the line for both sides, then gives what had come on it before: nothing can come after that."""
+        """Shuts the connection down in both directions, then returns the messages already received.
+
+        Nothing can arrive after the shutdown, so the list is final.
+        """
         messages = []
         try:
             self.sock.shutdown(socket.SHUT_RDWR)
@@ -76,5 +90,6 @@
             return messages
 
     def close(self) -> None:
+        """Closes the socket; a task that waits on it gets ConnectionBroken."""
         self.scheduler.cancel_wait(self.sock.fileno())
         self.sock.close()
--- a/molehill/runtime/scheduler.py
+++ b/molehill/runtime/scheduler.py
@@ -1,6 +1,7 @@
-"""Tasks as greenlets over select.poll: one loop, one waiter a descriptor, timers on a heap.
+"""Tasks as greenlets over select.poll: one loop, one waiter per descriptor, timers on a heap.
 
-A task runs until it waits. Whatever escapes a task is counted and logged, and ends that task alone.
+A task runs until it waits. An exception that escapes a task is counted and logged, and ends that
+task alone. All times are nanoseconds on the machine's monotonic clock.
 """
 
 import select
@@ -13,12 +14,15 @@
 from molehill.invariants import check_invariant
 
 READ, WRITE = select.POLLIN, select.POLLOUT
-# what a wait gives: the descriptor moved, time is up, taken away
+# Results of a wait: the descriptor is ready, the deadline has passed, the wait was cancelled.
 READY, TIMED_OUT, CANCELLED = "ready", "late", "cut"
 
 
 class Waiter:
-    """One wait of a task; `arrived_after`: what it waits for on its descriptor was not there at that time."""
+    """One wait of a task.
+
+    `arrived_after`: a time at which what it waits for on its descriptor had not arrived yet.
+    """
 
     __slots__ = ("task", "fd", "is_pending", "arrived_after")
 
@@ -27,17 +31,21 @@
 
 
 class Scheduler:
+    """Runs tasks and timers in one loop. `hub` is the greenlet of the loop itself."""
+
     def __init__(self, machine):
-        """`machine`: the clock, pollers, sockets and disk to run on, as of molehill/runtime/kernel.py."""
+        """`machine`: the clock, pollers, sockets and disk, as in molehill/runtime/kernel.py."""
         self.machine, self.clock, self.poller = machine, machine.clock, machine.poller()
         self.ready_tasks, self.timers, self.timer_count = deque(), [], 0
         self.waiters: dict[int, Waiter] = {}
         self.stopped, self.hub = False, getcurrent()
         self.polled_at = self.clock()
-        self.arrived_after = self.polled_at  # what the last look told of was not there at that time
-        self.longest_stall = 0  # since whoever tells it set it back
+        # A time at which nothing of what the last poll reported had arrived yet.
+        self.arrived_after = self.polled_at
+        self.longest_stall = 0  # nanoseconds; reset by whoever reports it
 
     def spawn(self, work, *args):
+        """Starts a task that runs work(*args); returns its greenlet."""
         task = greenlet(self._run_task, parent=self.hub)
         self.ready_tasks.append((task, (work, args)))
         return task
@@ -53,10 +61,10 @@
                 False, "task", work=getattr(work, "__qualname__", str(work)), error=repr(error)
             )
 
-    RESTART_DELAY = 100 * MS  # before work that has to go on is begun anew
+    RESTART_DELAY = 100 * MS  # before supervised work that failed is restarted
 
     def spawn_supervised(self, work):
-        """A task that the relay can't do without: begun anew if it fails, until it returns."""
+        """Starts a task that the relay depends on: it is restarted on failure until it returns."""
 
         def supervise():
             finished = False
@@ -71,12 +79,15 @@
         return self.spawn(supervise)
 
     def call_at(self, when, work, *args):
-        """Calls work(*args) in the loop itself at that time; it may not wait."""
+        """Calls work(*args) in the loop itself at time `when`; `work` must not wait."""
         self.timer_count += 1
         heappush(self.timers, (when, self.timer_count, work, args))
 
     def wait(self, fd=None, mask=0, deadline=None):
-        """Parks the current task until its descriptor is ready, the time is up, or `resume` is called on it."""
+        """Suspends the current task until its descriptor is ready, the deadline, or `resume`.
+
+        Returns READY, TIMED_OUT, CANCELLED (see `cancel_wait`) or the value passed to `resume`.
+        """
         waiter = Waiter(getcurrent(), fd, self.clock())
         if fd is not None:
             check_invariant(fd not in self.waiters, "one_waiter_a_descriptor", fd=fd)
@@ -88,14 +99,15 @@
         return self.hub.switch()
 
     def sleep_until(self, deadline):
+        """Suspends the current task until the deadline, or until `resume`."""
         return self.wait(deadline=deadline)
 
     def last_wait_arrived_after(self) -> int:
-        """What ended the current task's last wait on a descriptor was not there at that time."""
+        """Returns a time at which what ended the current task's last wait had not arrived yet."""
         return getcurrent().waiter.arrived_after
 
     def yield_now(self):
-        """Lets all others that are ready go first."""
+        """Lets all other tasks that are ready run first."""
         self.ready_tasks.append((getcurrent(), READY))
         self.hub.switch()
 
@@ -109,35 +121,35 @@
         self.ready_tasks.append((waiter.task, value))
 
     def resume(self, task, value=READY):
-        """Ends the wait that a task is in, if it is in one."""
+        """Ends the current wait of a task, if there is one; the wait returns `value`."""
         waiter = getattr(task, "waiter", None)
         if waiter is not None:
             self._wake(waiter, value)
 
     def cancel_wait(self, fd):
-        """Ends the wait on a descriptor that is about to be closed."""
+        """Ends the wait on a descriptor that is about to be closed; the wait returns CANCELLED."""
         waiter = self.waiters.get(fd)
         if waiter is not None:
             self._wake(waiter, CANCELLED)
 
-    # a loop that has nothing to do still looks at the clock once a second
-    MAX_POLL_TIMEOUT = 1000 * MS
+    MAX_POLL_TIMEOUT = 1000 * MS  # an idle loop still checks the clock once a second
 
     def run(self):
+        """Runs rounds until `stopped` is set; an exception of a round does not end the loop."""
         while not self.stopped:
             try:
                 self.run_once()
-            except Exception as error:  # whatever it is, the relay goes on
+            except Exception as error:  # whatever it is, the relay keeps running
                 check_invariant(False, "loop", error=repr(error))
 
-    # between two looks at the descriptors while there is work
-    POLL_INTERVAL = 20 * MS
+    POLL_INTERVAL = 20 * MS  # after which descriptors are polled again while tasks are ready
 
     def run_once(self, block=True):
-        """One round: descriptors, then every task that is ready, then due timers.
+        """Runs one round: polls the descriptors, then runs every ready task, then due timers.
 
-        Danger: after a standstill, or a long round, a wait's time is up while what it waits for lies there unread. So what
-        has come is taken first: an answer is not thrown away for a time-out, nor a callback ended that was delivered.
+        After a stall, or a long round, the deadline of a wait may have passed while what it waits
+        for lies unread in the socket. So arrivals are handled first: otherwise an answer would be
+        discarded for a timeout, and a callback ended although it was delivered.
         """
         timeout = self.MAX_POLL_TIMEOUT
         if self.ready_tasks or not block:
@@ -149,10 +161,12 @@
         for _ in range(len(self.ready_tasks)):
             task, value = self.ready_tasks.popleft()
             task.switch(value)
-            # danger: the longer no look is taken, the less is known of how old that is which it tells of
+            # The longer the gap between two polls, the less is known about the age of what the
+            # next one reports.
             if self.clock() - self.polled_at >= self.POLL_INTERVAL:
                 self._poll_descriptors(0)
-        # Danger: a standstill in the midst of those tasks; what came meanwhile is not read yet. So what was due at the look is.
+        # If the loop stalled while these tasks ran, what arrived meanwhile is not read yet. So only
+        # timers that were due at the poll at the start of this round run now.
         queued_count = len(self.ready_tasks)
         while self.timers and self.timers[0][0] <= round_start:
             _, _, work, args = heappop(self.timers)
@@ -162,15 +176,15 @@
                 check_invariant(
                     False, "timer", work=getattr(work, "__qualname__", str(work)), error=repr(error)
                 )
-        # a task whose time is up goes on before those that can wait
+        # Tasks whose deadline has passed run before those that can wait.
         self.ready_tasks.rotate(len(self.ready_tasks) - queued_count)
 
     def _poll_descriptors(self, timeout):
-        """Wakes the tasks whose descriptors are ready; waits for up to `timeout` for the first of them."""
+        """Wakes the tasks whose descriptors are ready; waits up to `timeout` for the first one."""
         poll_start = self.clock()
         ready_descriptors = self.poller.poll(-(-timeout // MS))
         now = self.clock()
-        # since the last look this loop was busy or stood still
+        # For this long since the last poll the loop was busy or stalled.
         stalled = poll_start - self.polled_at + max(0, now - poll_start - timeout)
         self.polled_at, self.arrived_after = now, now - stalled
         self.longest_stall = max(self.longest_stall, stalled)
--- a/molehill/runtime/stream.py
+++ b/molehill/runtime/stream.py
@@ -1,6 +1,7 @@
-"""One TCP connection for the tasks of any protocol: connect, read into its buffer, write all; the budget of sockets.
+"""TCP connections for tasks of any protocol, and the budget of file descriptors.
 
-Sockets come from the machine that the scheduler was handed, so the same code runs on the kernel and in the emulator.
+Sockets come from the scheduler's machine, so the same code runs on the kernel and in the emulator.
+Deadlines are nanoseconds on the scheduler's clock.
 """
 
 import contextlib
@@ -13,18 +14,19 @@
 
 
 class ConnectionBroken(Exception):
-    """The connection is of no more use: closed, reset, or cut by this side."""
+    """The connection is unusable: closed, reset, or closed by this side during the operation."""
 
 
 class NoDescriptor(ConnectionBroken):
-    """This process has no descriptor to spare."""
+    """The descriptor budget of this process is exhausted."""
 
 
 class LocalError(NoDescriptor):
-    """This machine lacks what a connection needs: it tells nothing of the other side."""
+    """This machine lacks a resource for the connection; the error says nothing about the peer."""
 
 
-# Errors of connect(2) and send(2) that are this machine's own: no local port, no route, no buffer, a rule of its firewall.
+# Errors of connect(2) and send(2) that this machine causes: no local port, no route, no buffer, or
+# a rule of its firewall.
 LOCAL_ERRNOS = (
     errno.EADDRNOTAVAIL,
     errno.EADDRINUSE,
@@ -36,39 +38,43 @@
     errno.EPERM,
     errno.EACCES,
 )
-# of connect(2): it goes on by itself
+# Errors of connect(2) after which the connection attempt continues in the background.
 IN_PROGRESS_ERRNOS = (errno.EINPROGRESS, errno.EINTR, errno.EALREADY)
 
 
 class TimedOut(Exception):
-    """The time that was given is up."""
+    """The deadline of the operation has passed."""
 
 
 def to_connection_error(error: Exception) -> ConnectionBroken:
-    """What a failed call on a connection means: this machine's own trouble, or the connection's."""
+    """Converts the error of a system call to LocalError or, if not local, ConnectionBroken."""
     return (LocalError if getattr(error, "errno", None) in LOCAL_ERRNOS else ConnectionBroken)(
         str(error)
     )
 
 
 class DescriptorBudget:
-    """Counts the descriptors of each kind, within one figure for all and one for kinds that have their own."""
+    """Counts the descriptors of each kind, within a limit for all and limits for some kinds."""
 
     def __init__(self, limit: int, kind_limits=None):
         self.limit, self.kind_limits = limit, kind_limits or {}
         self.used: dict[str, int] = {}
-        # name in CLOSE_ORDER -> closes one idle connection and tells whether it did
+        # Name in CLOSE_ORDER -> function that closes one idle connection; returns whether it did.
         self.idle_closers: dict[str, Callable[[], bool]] = {}
 
     def total(self) -> int:
+        """Returns the number of descriptors in use, of all kinds."""
         return sum(self.used.values())
 
-    # Clients' connections that nobody needs go first. Then those to hosts, whose loss costs a handshake; then such of
-    # clients as a request may yet come on.
+    # Client connections that nobody needs are closed first. Then connections to hosts, whose loss
+    # costs a handshake; then client connections on which a request may still come.
     CLOSE_ORDER = ("left client", "host", "client")
 
     def acquire(self, kind: str, reserve: int = 0) -> bool:
-        """One more of that kind, leaving `reserve` free for others; idle connections make room."""
+        """Counts one more descriptor of that kind if `reserve` others remain free.
+
+        Closes idle connections to make room; returns False if that is not enough.
+        """
         while self.used.get(kind, 0) >= self.kind_limits.get(kind, self.limit):
             if not self._make_room([name for name in self.CLOSE_ORDER if name.endswith(kind)]):
                 return False
@@ -82,33 +88,41 @@
         return any(self.idle_closers[name]() for name in names if name in self.idle_closers)
 
     def release(self, kind: str) -> None:
+        """Counts one descriptor of that kind less."""
         self.used[kind] -= 1
 
 
 class Stream:
-    """A connection with one buffer of `buffer_size` bytes; `kind` is what it counts as in the budget."""
+    """A connection with a read buffer of at most `buffer_size` bytes.
+
+    `kind` is the kind under which the budget counts it; the caller has acquired it there.
+    """
 
     def __init__(self, scheduler, sock, kind: str, budget: DescriptorBudget, buffer_size: int):
         sock.setblocking(False)
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         except OSError:
-            pass  # not a TCP socket, as in tests
+            pass  # not a TCP socket, e.g. in tests
         self.scheduler, self.sock, self.kind, self.budget = scheduler, sock, kind, budget
         self.buffer, self.is_open, self.idle_since = Buffer(buffer_size), True, 0
-        self.known_empty_at = scheduler.clock()  # nothing lay unread then, as far as is known
-        self.arrived_after = self.known_empty_at  # what was read last was not there at that time
+        self.known_empty_at = scheduler.clock()  # last time at which nothing is known to lie unread
+        self.arrived_after = self.known_empty_at  # what was read last had not arrived at that time
 
     def close(self) -> None:
+        """Closes the connection; a task that waits on it gets ConnectionBroken."""
         if self.is_open:
             self.is_open = False
             self.scheduler.cancel_wait(self.sock.fileno())
             self.budget.release(self.kind)
-            with contextlib.suppress(OSError):  # Linux frees the descriptor all the same
+            with contextlib.suppress(OSError):  # Linux frees the descriptor even if close(2) fails
                 self.sock.close()
 
     def detach(self):
-        """Its socket and what is unread of its message, for another process: to its users here it breaks."""
+        """Gives the socket up for another process; returns it and the bytes not consumed yet.
+
+        For users of the stream in this process the connection breaks.
+        """
         data, sock = self.unread_bytes(), self.sock
         self.is_open = False
         self.scheduler.cancel_wait(sock.fileno())
@@ -116,11 +130,15 @@
         return sock, data
 
     def unread_bytes(self) -> bytes:
+        """Returns the bytes that were read from the socket and not consumed yet."""
         return self.buffer.peek(len(self.buffer))
 
     def restore_unread(self, data: bytes) -> None:
-        """What another process had read and not used. Danger: a head that it had taken off its buffer and all behind it may be
-        more than a buffer holds; such a connection is closed, and the process that takes over goes on."""
+        """Fills the buffer with what another process had read and not consumed.
+
+        A head that the other process had already taken from its buffer and all behind it may be
+        more than a buffer holds. Such a connection is closed, so that the takeover goes on.
+        """
         while data:
             with self.buffer.free_space() as space:
                 count = min(len(space), len(data))
@@ -138,6 +156,7 @@
             raise TimedOut()
 
     def connect(self, address, deadline) -> None:
+        """Connects the socket; raises LocalError, ConnectionBroken or TimedOut."""
         try:
             code = self.sock.connect_ex(address)
             if code in IN_PROGRESS_ERRNOS:
@@ -149,7 +168,10 @@
             raise to_connection_error(OSError(code, errno.errorcode.get(code, str(code))))
 
     def send(self, data: bytes, deadline) -> None:
-        """Writes all; where it raises, the last byte has not gone."""
+        """Writes all of `data`. If it raises, the last byte has not been sent.
+
+        Raises LocalError, ConnectionBroken or TimedOut.
+        """
         view = memoryview(data)
         while view:
             if not self.is_open:
@@ -162,7 +184,10 @@
                 raise to_connection_error(error) from None
 
     def read(self, deadline) -> None:
-        """Some more bytes into the buffer; Broken at the end of the stream."""
+        """Reads some more bytes into the buffer.
+
+        Raises ConnectionBroken, also at the end of the stream and on a full buffer, or TimedOut.
+        """
         while True:
             if not self.is_open:
                 raise ConnectionBroken("cut")
@@ -190,7 +215,7 @@
             return
 
     def _peek(self):
-        """What lies unread: None for nothing, b"" for the end of the stream or a broken one."""
+        """Returns the next unread byte, None if there is none, or b"" at the end or if broken."""
         try:
             return self.sock.recv(1, socket.MSG_PEEK) if self.is_open else b""
         except BlockingIOError:
@@ -199,21 +224,24 @@
             return b""
 
     def is_quiet(self) -> bool:
-        """Whether nothing has come on an idle connection: neither its end nor bytes that nobody asked for."""
+        """Returns whether an idle connection has neither ended nor received unrequested bytes."""
         return not len(self.buffer) and self._peek() is None
 
     def has_unread(self) -> bool:
-        """Whether bytes lie there to be read."""
+        """Returns whether bytes are waiting in the socket."""
         return bool(self._peek())
 
     def has_ended(self) -> bool:
+        """Returns whether the stream has ended or is broken, with nothing left to read."""
         return self._peek() == b""
 
 
 def end_sending_and_drain(stream, timeout: int, max_bytes: int) -> None:
-    """Ends the sending, then reads away what still comes, so long and so much at most.
+    """Shuts down the sending side, then reads and discards what still arrives.
 
-    Danger: closed over bytes that lie unread, a connection is reset, and the other side may never see the answer.
+    Stops after `timeout` nanoseconds or `max_bytes` bytes; raises ConnectionBroken or TimedOut.
+    A connection that is closed while bytes lie unread is reset, and the peer may never see the
+    answer.
     """
     stream.sock.shutdown(socket.SHUT_WR)
     deadline, drained = stream.scheduler.clock() + timeout, 0
@@ -224,7 +252,7 @@
 
 
 BACKLOG = 1024
-# Errors of socket(2), bind(2) and listen(2) that pass by themselves
+# Errors of socket(2), bind(2) and listen(2) that go away without intervention.
 TRANSIENT_ERRNOS = (
     errno.EMFILE,
     errno.ENFILE,
@@ -236,7 +264,7 @@
 
 
 def open_listener(machine, address) -> socket.socket:
-    """A listener there that does not block."""
+    """Returns a non-blocking listener at this address; raises OSError."""
     sock = machine.tcp_socket(address)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -250,7 +278,11 @@
 
 
 def open_stream(scheduler, address, kind, budget, factory, reserve=0) -> Stream:
-    """A socket for a connection to another party, counted in the budget; `factory` is the kind of Stream it becomes."""
+    """Opens a socket for a connection to another party and counts it in the budget.
+
+    `factory` makes the stream of it. Raises NoDescriptor if the budget is exhausted, LocalError if
+    the machine gives no socket.
+    """
     if not budget.acquire(kind, reserve):
         raise NoDescriptor("no socket to spare")
     try:
@@ -262,6 +294,7 @@
 
 
 def connect_stream(scheduler, address, kind, budget, factory, deadline, reserve=0) -> Stream:
+    """Opens and connects a stream; closes it on failure. Raises as open_stream and connect do."""
     stream = open_stream(scheduler, address, kind, budget, factory, reserve)
     try:
         stream.connect(address, deadline)
@@ -272,8 +305,11 @@
 
 
 class PersistentConnection:
-    """The one connection to the party at an address that may change, kept between requests and made anew once it is
-    of no more use. Closed at any time, also while it comes up, it breaks under whoever uses it."""
+    """A connection that is kept between requests and reopened when it is no longer usable.
+
+    `get_address()` gives the peer's address, which may change. `close` may be called at any time,
+    also while the connection is being established; its user then gets ConnectionBroken.
+    """
 
     def __init__(self, scheduler, get_address, kind, budget, factory):
         self.scheduler, self.get_address, self.kind, self.budget = (
@@ -285,6 +321,7 @@
         self.factory, self.stream = factory, None
 
     def get_stream(self, deadline) -> Stream:
+        """Returns the connected stream, if needed a new one; raises as connect_stream does."""
         if self.stream is None or not self.stream.is_quiet():
             self.close()
             address = self.get_address()
@@ -295,6 +332,7 @@
         return self.stream
 
     def close(self) -> None:
+        """Closes the connection, if there is one."""
         if self.stream is not None:
             self.stream.close()
             self.stream = None
--- a/molehill/runtime/trace.py
+++ b/molehill/runtime/trace.py
@@ -1,8 +1,11 @@
-"""What became of each callback, step by step, as lines of JSON in a file of bounded size. Off unless the configuration names a file.
+"""Trace of the steps of each callback, as lines of JSON in a file of bounded size.
 
-A line has `at` (nanoseconds of the relay's clock), `step` (`Step`), `id` and what else that step tells. Once the file holds half of
-its room it takes the place of the one before (`FILE.1`), so both together stay within the room. Each line is written as it
-happens and outlasts a kill; a file that takes no line loses it, and the relay goes on.
+Tracing is off unless the configuration names a file.
+
+A line has `at` (nanoseconds of the relay's clock), `step` (`Step`), `id` and further fields of that
+step. Once the file holds half of the permitted bytes it replaces the previous one (`FILE.1`), so
+both together stay within the limit. Each line is written when the step happens and outlasts a kill.
+A line that can't be written is lost, and the relay goes on.
 """
 
 import json
@@ -11,7 +14,7 @@
 
 
 class Step(Enum):
-    """The steps of a callback, its calls and its connections; the values stand in the file."""
+    """The steps of a callback, its calls and its connections; the file contains the values."""
 
     HANDED_IN = "handed in"
     ANSWERED = "answered"
@@ -27,7 +30,7 @@
 
 
 class NoTrace:
-    """Keeps nothing."""
+    """Replaces Trace when tracing is off."""
 
     is_on = False
 
@@ -36,12 +39,12 @@
 
 
 class Trace:
-    """Writes the steps to a file. Raises OSError where it can't be opened."""
+    """Writes the steps to a file. The constructor raises OSError if the file can't be opened."""
 
     is_on = True
 
     def __init__(self, machine, path: str, max_bytes: int):
-        """`machine` as of molehill/runtime/kernel.py; `max_bytes`: bytes of the file and the one before it together."""
+        """`machine`: as in molehill/runtime/kernel.py; `max_bytes`: for the file and FILE.1."""
         self.machine, self.path, self.max_file_bytes = machine, path, max_bytes // 2
         self.fd, self.size = -1, 0
         self._open(truncate=False)
@@ -53,7 +56,7 @@
         disk.seek(self.fd, self.size)
 
     def record(self, step: Step, callback_id: Optional[str], **facts: Any) -> None:
-        """One line; `callback_id`: the callback's, None for a step of a connection."""
+        """Writes one line; `callback_id` is None for a step of a connection."""
         row = {"at": self.machine.clock(), "step": step.value, "id": callback_id, **facts}
         line = json.dumps(row, separators=(",", ":")).encode("ascii") + b"\n"
         try:
