--- a/molehill/__main__.py
+++ b/molehill/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m molehill`: one relay on this machine, as the environment and the file that it names say."""
+"""`python -m molehill`: runs one relay, configured by the environment and the file it names."""
 
 import gc
 import os
@@ -14,7 +14,7 @@
 
 
 def watch_signals() -> socket.socket:
-    """Has each signal that the relay acts on arrive as a byte, its number."""
+    """Returns a socket on which each signal that the relay handles arrives as a byte."""
     read, write = socket.socketpair()
     for side in (read, write):
         side.setblocking(False)
@@ -26,8 +26,11 @@
 
 
 def main(machine=None) -> int:
-    """One relay from start to end; its exit code. `machine`: another than the kernel's."""
-    # first of all: one that comes before the loop turns waits for it
+    """Runs one relay and returns its exit code; `machine` replaces the Kernel.
+
+    The code is 2 for a configuration that can't be used, 1 for another error of log or listener.
+    """
+    # First of all, so that a signal that comes before the loop runs waits for it.
     signals = watch_signals()
     try:
         config = configuration.load(os.environ)
@@ -53,7 +56,7 @@
         )
         return 1
     process.begin_serving(signals)
-    gc.freeze()  # what is here now stays: later collections pass over it
+    gc.freeze()  # what exists now is kept for good: later collections skip it
     process.run()
     return 0
 
--- a/molehill/relay.py
+++ b/molehill/relay.py
@@ -1,7 +1,7 @@
-"""One relay: wires configuration, log, core and network together, and ends in order on SIGTERM.
+"""One relay process: connects configuration, log, core and network, and shuts down on SIGTERM.
 
-All that lies outside is handed in: the machine (clock, pollers, sockets, disk), the configuration and a way to read it
-again, the sink of log lines, and a socket on which each signal comes as a byte.
+Everything external is passed in: the machine (clock, pollers, sockets, disk), the configuration and
+a function that reads it again, the sink of log lines, and a socket that receives a byte per signal.
 """
 
 import signal
@@ -25,8 +25,14 @@
 
 
 class Process:
+    """One process of a relay, from the open log to the end of the loop."""
+
     def __init__(self, config, machine, sink, load_config, startup=None):
-        """`load_again(config)` reads the configuration anew, on SIGHUP, in place of that one; it raises ConfigError."""
+        """Reads the log and creates all parts; raises ConfigError, and OSError for the log.
+
+        `load_config(config)` reads the configuration that replaces the given one, on SIGHUP; it
+        raises ConfigError.
+        """
         self.config, self.sink, self.load_config = config, sink, load_config
         self.startup = startup = startup or Startup(config, machine, sink)
         if startup.store is None:
@@ -41,7 +47,7 @@
         invariants.report_breach = lambda name, count, facts: self.log.error(
             "broken invariant", name=name, count=count, **{f"fact_{k}": v for k, v in facts.items()}
         )
-        # it may have moved since this one's start
+        # Discovery's address may have changed since this process read its configuration.
         if startup.handover is not None and "discovery" in startup.handover.state:
             config.discovery = configuration.parse_address(
                 startup.handover.state["discovery"], "discovery"
@@ -96,7 +102,7 @@
         self.membership = None
         if config.fleet is not None:
             try:
-                # only where it is asked for: it costs memory and a start's time
+                # Imported only if configured: it costs memory and startup time.
                 from molehill.membership.service import Membership
             except ImportError as error:
                 raise configuration.ConfigError(
@@ -107,7 +113,10 @@
         startup.process = self
 
     def begin_serving(self, signals) -> None:
-        """Takes up what is owed and gets ready to serve; `signals` is a socket that does not block."""
+        """Resumes pending callbacks and starts all tasks that serve.
+
+        `signals`: a non-blocking socket on which each signal arrives as a byte, its number.
+        """
         self.signals = signals
         self.scheduler.spawn_supervised(self.read_signals)
         handover, begin_options = self.startup.handover, {}
@@ -145,7 +154,7 @@
         )
 
     def open_trace(self) -> Trace | NoTrace:
-        """The file of each callback's steps, where one is configured and can be opened."""
+        """Opens the trace file; returns NO_TRACE if none is configured or it can't be opened."""
         trace_file = self.config.trace
         if trace_file is None:
             return NO_TRACE
@@ -156,7 +165,7 @@
             return NO_TRACE
 
     def run(self) -> None:
-        """Serves until it was told to end."""
+        """Serves until shutdown or handover is complete."""
         self.scheduler.run()
         if not self.handed_over:
             self.store.close()
@@ -169,22 +178,23 @@
         self.sink.flush()
 
     def read_signals(self) -> None:
-        """One after another; what comes before the loop turns waits in the socket pair."""
+        """Handles signals in order; those that come before the loop runs wait in the socket."""
         while True:
             self.scheduler.wait(self.signals.fileno(), READ)
             for signal_number in self.signals.recv(64):
                 self.handle_signal(signal_number)
 
     def handle_signal(self, signal_number) -> None:
+        """Reloads the configuration on SIGHUP, unless handed over; else begins the shutdown."""
         if signal_number == signal.SIGHUP and not self.handed_over:
             self.reload_configuration()
         elif signal_number != signal.SIGHUP:
             self.shutdown.begin()
 
     def reload_configuration(self) -> None:
-        """SIGHUP: the file is read and checked whole, then taken whole or not at all.
+        """Reads and checks the whole file on SIGHUP, then applies all of it or nothing.
 
-        What does not count at once counts from the next start on.
+        Settings that can't change in a running process apply from the next start on.
         """
         try:
             new = self.load_config(self.config)
@@ -203,7 +213,10 @@
         self.apply_configuration(new)
 
     def apply_configuration(self, new) -> None:
-        """New settings and a new address of discovery count at once, the latter for the watch and for all notices."""
+        """Applies new settings and a new address of discovery at once.
+
+        The address counts for the watch of the host list and for all notices.
+        """
         moved = new.discovery != self.config.discovery
         if (
             moved
@@ -217,6 +230,7 @@
             self.discovery.change_address()
 
     def apply_settings(self, new) -> None:
+        """Passes the reloadable part of `new` to the core and to membership."""
         names = list(new.callback_classes)
         configuration.apply_reload(self.config, new)
         self.engine.post_event(ev.SettingsChanged(self.config.settings, names))
@@ -227,34 +241,41 @@
         if self.membership is not None and new.fleet is not None:
             self.membership.reconfigure(new.fleet)
 
-    # An upgrade: molehill/upgrade.py has its order
+    # Upgrades; molehill/upgrade.py has the sequence of the steps.
 
     def reload_after_handover(self) -> None:
-        """Danger: the old process was told of a new file after this one had read it, and nobody tells this one."""
+        """Reads the configuration again after a handover.
+
+        The old process may have got a SIGHUP for a new file after this process had read the file;
+        nobody signals this process.
+        """
         try:
             new = self.load_config(self.config)
         except configuration.ConfigError as error:
             self.log.error("configuration not taken", error=str(error))
             return
         if new.discovery_in_file == self.config.discovery_in_file:
-            # the old one's, which may have moved by another file or a variable
+            # Keep the old process's address, which another file or a variable may have changed.
             new.discovery = self.config.discovery
         self.apply_configuration(new)
 
     def metrics_text(self) -> str:
+        """Returns the page of metrics, with those of membership if it is on."""
         return self.core.metrics.render() + (
             self.membership.metrics_text() if self.membership else ""
         )
 
     def can_serve(self) -> bool:
+        """Returns whether this process accepts callbacks."""
         return self.clients.can_serve() and not self.handed_over
 
     def pause_intake(self) -> None:
-        """Finishes what has begun, and begins nothing."""
+        """Lets calls and requests that have begun finish, and begins no others."""
         self.engine.post_event(ev.PauseCalls(True))
         self.clients.pause_requests()
 
     def is_drained(self) -> bool:
+        """Returns whether no request, call or notice is halfway through."""
         return (
             self.clients.is_quiescent()
             and self.hosts.is_quiescent()
@@ -262,16 +283,21 @@
         )
 
     def prepare_handover(self, started_at: int):
-        self.engine.post_event(ev.Step())  # what was read is decided, and in the log
+        """Suspends this process and returns the rows to hand over (see upgrade.handover_rows)."""
+        self.engine.post_event(ev.Step())  # what was read is decided on and logged
         self.engine.suspend()
         if self.membership is not None:
-            self.membership.close()  # the next process is the same member at the same address
+            # The next process is the same member and needs the address.
+            self.membership.close()
         return upgrade.handover_rows(self, started_at)
 
     def abort_handover(self, rows, started_at: int) -> None:
-        """The next process is gone: what was to pass is taken back, and all goes on. Danger: a connection that is closed here with
-        an answer unread on it makes a callback that was delivered run once more."""
-        self.scheduler.yield_now()  # the tasks of what passed have ended by then
+        """Takes back what was to be handed over, and resumes: the next process is gone.
+
+        The connections are kept: closing one with an answer unread on it would make a callback that
+        was delivered run once more.
+        """
+        self.scheduler.yield_now()  # lets the tasks of the detached connections end
         self.hosts.take_back([row for row in rows if row[0]["k"] in ("call", "idle")])
         self.notices.take_back()
         self.engine.resume()
@@ -283,7 +309,7 @@
         )
 
     def finish_handover(self) -> None:
-        """The next process has it all; this one has nothing left to do but to end."""
+        """Releases what is left here; the next process has everything, and this one only ends."""
         self.handed_over, self.clients.is_ready = True, False
         self.store.close()
         self.scheduler.machine.close(self.lock)
--- a/molehill/shutdown.py
+++ b/molehill/shutdown.py
@@ -1,10 +1,14 @@
-"""How a relay ends once it was told to: named states, one place for every change of them.
+"""Shutdown of a relay after SIGTERM: a state machine with one place for every change of state.
 
-SERVING: as ever. STOPPING: SIGTERM came; all goes on, as clients may have no other relay and what is taken on lives through the
-restart, but no call begins that the end would cut off. CLOSING_CONNECTIONS: no connection is taken any more, and each answer ends its
-connection. FINISHING_REQUESTS: what stands idle is closed; who has begun a request gets its answer, calls and notices that are out are
-waited for. DROPPING_UNFINISHED: what is not whole by now is not read any more; what is gets its answer. ENDED: the loop stops.
-docs/design/shutdown.md tells what each party sees in each of them.
+SERVING: normal operation.
+STOPPING: SIGTERM came. Service goes on, because clients may have no other relay and accepted
+callbacks outlast the restart, but no call begins that the end would interrupt.
+CLOSING_CONNECTIONS: no connection is accepted any more, and each answer closes its connection.
+FINISHING_REQUESTS: idle connections are closed. Requests that have begun are read and answered;
+calls and notices in flight are waited for.
+DROPPING_UNFINISHED: incomplete requests are not read any more; complete ones are answered.
+ENDED: the loop stops.
+docs/design/shutdown.md describes what each party sees in each state.
 """
 
 from molehill.config import MS
@@ -27,8 +31,8 @@
     DROPPING_UNFINISHED: (ENDED,),
     ENDED: (),
 }
-# From SIGTERM on, with SIGKILL no sooner than at 3.7 s: when each state begins at the latest; the last come as soon as nobody
-# is waited for.
+# Nanoseconds after SIGTERM at which each state begins at the latest; SIGKILL comes at 3.7 s at the
+# earliest. The last two states begin earlier if nobody has to be waited for.
 LATEST_START = {
     STOPPING: 0,
     CLOSING_CONNECTIONS: 3000 * MS,
@@ -36,10 +40,12 @@
     DROPPING_UNFINISHED: 3500 * MS,
     ENDED: 3600 * MS,
 }
-CHECK_INTERVAL = 5 * MS  # whether anybody still waits for a last answer
+CHECK_INTERVAL = 5 * MS  # between checks whether somebody still waits for an answer
 
 
 class Shutdown:
+    """The shutdown state of a process, and the task that advances it."""
+
     def __init__(self, process):
         self.process, self.scheduler, self.state, self.requested_at = (
             process,
@@ -49,14 +55,14 @@
         )
 
     def begin(self) -> None:
-        """The relay is told to end; told again, it goes on with that."""
+        """Starts the shutdown; further calls have no effect."""
         if self.requested_at is None:
             self.requested_at = self.scheduler.clock()
             self.scheduler.spawn_supervised(self.run)
 
     def run(self) -> None:
-        """From one state to the next, each at its time; begun anew after a fault, it goes on from where it is."""
-        if self.process.handed_over:  # another process has all of it
+        """Goes through the states, each at its time; after a fault it resumes where it was."""
+        if self.process.handed_over:  # another process has everything
             self.change_state(ENDED)
         while self.state is not ENDED:
             state = NEXT_STATES[self.state][0]
@@ -69,7 +75,7 @@
                 self.change_state(state)
 
     def is_work_pending(self) -> bool:
-        """Whether somebody may still get what it waits for."""
+        """Returns whether somebody may still get what they wait for in this state."""
         process = self.process
         if self.state is FINISHING_REQUESTS:
             return bool(
@@ -80,7 +86,7 @@
         return self.state is DROPPING_UNFINISHED and not process.clients.is_quiescent()
 
     def change_state(self, state) -> None:
-        """Every change of the state, and what it brings with it."""
+        """Changes the state and does what the new state requires."""
         process, before, self.state = self.process, self.state, state
         check_invariant(state in NEXT_STATES[before], "shutdown_state", before=before, after=state)
         if state is STOPPING:
--- a/molehill/startup.py
+++ b/molehill/startup.py
@@ -1,7 +1,8 @@
-"""What a process of a relay has before it serves: the loop, log lines, the operators' door, the folder's lock and its log.
+"""What a relay process needs before it serves: loop, logger, admin server, folder lock and log.
 
-Another process may have the lock, and the disk may fail for a while. Both are waited for in the loop, so that the door answers
-and signals are heard meanwhile. What only an operator can mend ends the start with an error that names the key.
+Another process may have the lock, and the disk may fail for a while. Startup waits for both in the
+loop, so that the admin server answers and signals are handled meanwhile. A fault that only an
+operator can correct ends the start with a ConfigError that names the key.
 """
 
 import errno
@@ -15,7 +16,7 @@
 from molehill.store import Store
 from molehill.upgrade import Successor
 
-# Errors of the folder that waiting does not mend: it is no folder, or this process may not use it.
+# Errors of the folder that waiting does not cure: it is no folder, or this process may not use it.
 PERMANENT_ERRNOS = (
     errno.ENOTDIR,
     errno.EEXIST,
@@ -31,19 +32,24 @@
 
 
 def log_limits(config) -> tuple[int, int]:
-    """Bytes for the log's files together, and for what may be owed at once.
+    """Returns the limits in bytes for the log's files together and for the pending callbacks.
 
-    A rewrite stands beside the log, so what is owed takes 7/20 at most (Store.wants_rewrite has the sum). The files
-    may lie in memory and what is owed is held there once more: together under half of it.
+    During a rewrite the new file exists beside the log, so pending callbacks get 7/20 of the files'
+    limit at most (Store.needs_rewrite has the calculation). The files may be in memory, and pending
+    callbacks are held there once more: both together stay under half of the memory limit.
     """
     files = min(config.disk * 15 // 16, config.memory * 5 // 16)
     return files, files * 7 // 20
 
 
 class Startup:
-    """What stands before a relay has its log. `handover`: what a process before it handed over, or None."""
+    """The parts of a process that exist before its log is open.
+
+    `handover`: what the previous process handed over, or None.
+    """
 
     def __init__(self, config, machine, sink):
+        """Tries to lock the folder; raises ConfigError for a folder that can't be used."""
         self.config, self.machine = config, machine
         self.scheduler, self.log = (
             Scheduler(machine),
@@ -52,7 +58,7 @@
         self.process = self.handover = self.admin = self.successor = self.store = self.log_clock = (
             None
         )
-        self.pending_signals = []  # signals that came before the relay was there
+        self.pending_signals = []  # signals that came before the Process existed
         self.lock = self.disk_wait_logged_at = None
         self.try_lock()
         if config.admin is not None:
@@ -66,14 +72,17 @@
             )
 
     def try_lock(self) -> None:
-        """Takes the folder's lock if it is free. Raises ConfigError for a folder that can't be used."""
+        """Locks the folder if the lock is free; raises ConfigError for an unusable folder."""
         try:
             self.lock = self.machine.disk.lock(self.config.state)
         except OSError as error:
             self.handle_disk_error(error)
 
     def wait_until_ready(self, config, signals) -> bool:
-        """Until the lock and the log are here; False if told to end before."""
+        """Waits until the lock is held and the log is open; returns False if told to end before.
+
+        `signals`: a non-blocking socket on which each signal arrives as a byte. Raises ConfigError.
+        """
         if self.lock is not None and self.try_open_log():
             return True
         successor = self.successor = Successor(self, signals)
@@ -82,7 +91,7 @@
         return self.finish_wait()
 
     def finish_wait(self) -> bool:
-        """Takes what the search for the lock and the log brought."""
+        """Takes over what the Successor got; returns as `wait_until_ready` does."""
         self.handover, self.pending_signals = (
             self.successor.handover,
             self.successor.pending_signals,
@@ -90,7 +99,7 @@
         return self.successor.finish()
 
     def try_open_log(self) -> bool:
-        """Opens and reads the log, and writes a first record; whether the disk let it. Raises ConfigError."""
+        """Calls `open_log`; returns whether the disk allowed it. Raises ConfigError."""
         try:
             self.open_log()
         except OSError as error:
@@ -99,7 +108,7 @@
         return True
 
     def open_log(self) -> None:
-        """The same; raises OSError."""
+        """Opens and reads the log, and writes a first record; raises OSError."""
         store = Store(self.config.state, log_limits(self.config)[0], self.machine.disk)
         try:
             store.read()
@@ -112,7 +121,10 @@
         self.store, self.log_clock = store, clock
 
     def handle_disk_error(self, error: OSError) -> None:
-        """Says what is waited for, once in a while. Raises ConfigError for what waiting does not mend."""
+        """Logs the error at most once per WAIT_LOG_INTERVAL.
+
+        Raises ConfigError for errors that waiting does not cure.
+        """
         if error.errno in PERMANENT_ERRNOS:
             raise ConfigError(f"ROUTER_STATE: {self.config.state}: {error}") from None
         now = self.scheduler.clock()
--- a/molehill/upgrade.py
+++ b/molehill/upgrade.py
@@ -1,14 +1,15 @@
-"""An upgrade under load: the process that serves hands all it has to the next one, through a Unix socket in its folder.
+"""Upgrade under load: the serving process hands over to the next one, through a Unix socket.
 
-One owner at any moment: whoever has the folder's lock writes the log and decides. The lock is a descriptor, and passes over
-as the last thing of all, so there is no moment between two owners. docs/design/upgrade.md has the steps and what a kill of
-either process at each of them leaves behind.
+There is one owner at any moment: the process that has the folder's lock writes the log and decides.
+The lock is a file descriptor and is passed last, so there is no moment between two owners.
+docs/design/upgrade.md has the steps, and the state after a kill of either process at each of them.
 
-    new -> old   hello   version
-    old -> new   no      why: the next one waits for the lock, as after any other end
-    old -> new   host, learnt, client, call, idle, listener, state: what there is, a connection's descriptor with its row
-    old -> new   lock    the lock's descriptor, and with it everything
-    new -> old   mine    from here on the new one may write; without it the old one goes on
+    new -> old   hello   the protocol version
+    old -> new   no      why: the new process waits for the lock, as after any other end
+    old -> new   host, learnt, client, call, idle, listener, state: one row for each item, a
+                         connection's row with its descriptor
+    old -> new   lock    the lock's descriptor, and with it the ownership
+    new -> old   mine    from here on the new process may write; without it the old one goes on
 """
 
 import signal
@@ -22,22 +23,24 @@
 from molehill.runtime.scheduler import CANCELLED, READ
 from molehill.runtime.stream import ConnectionBroken, TimedOut
 
-PROTOCOL_VERSION = 2  # 1 had times of the wall clock in its rows
-# for requests that are answered and calls that are written: a quarter of a client's wait
+PROTOCOL_VERSION = 2  # rows of version 1 had wall-clock times
+# For requests that are being answered and calls that are being written: a quarter of the time that
+# a client waits.
 DRAIN_TIMEOUT = 100 * MS
-# for a message of the other process: many times what it takes, well within the 6 s for a yes
+# For a message of the other process: many times what one takes, and well within the 6 s for a yes.
 MESSAGE_TIMEOUT = SECOND
-# For all that passes, as the relay stands meanwhile: half of the time within which it owes a notice (300 ms). Some 10 ms are taken.
+# For the whole transfer, during which the relay does nothing else: half of the 300 ms within which
+# a notice is owed. A transfer takes some 10 ms.
 TRANSFER_TIMEOUT = 150 * MS
-RETRY_DELAY = 50 * MS  # between looks at the lock while another process has it
-# at most, between two hand-overs that broke off: each costs the one that serves a pause
+RETRY_DELAY = 50 * MS  # between attempts to lock while another process has the lock
+# Longest delay after a handover that broke off: each one pauses the process that serves.
 MAX_RETRY_DELAY = SECOND
 WAIT_LOG_INTERVAL = 10 * SECOND
 
 
 @dataclass(slots=True)
 class Handover:
-    """What the new process got."""
+    """What the new process received from the old one."""
 
     lock: int = -1
     listener: Any = None
@@ -47,6 +50,7 @@
     connections: list = field(default_factory=list)  # (message, body, socket)
 
     def close(self, machine) -> None:
+        """Closes all descriptors that were received."""
         for _, _, sock in self.connections:
             sock.close()
         if self.listener is not None:
@@ -56,9 +60,10 @@
 
 
 class Successor:
-    """The new process, until it has the lock and the log. `startup`: of molehill/startup.py."""
+    """The new process until it has the lock and the log."""
 
     def __init__(self, startup, signals):
+        """`startup`: a Startup; `signals`: non-blocking socket that receives a byte per signal."""
         self.startup, self.scheduler, self.config, self.log, self.signals = (
             startup,
             startup.scheduler,
@@ -75,34 +80,40 @@
         )
 
     def begin(self) -> None:
-        """The loop is to stop once lock and log are here, with what the process before gave or without."""
+        """Starts the tasks that get lock and log, handed over or not, and then stop the loop."""
         self.scheduler.spawn_supervised(self.read_signals)
         self.scheduler.spawn_supervised(self.acquire_lock_and_log)
 
     def finish(self) -> bool:
-        """After the loop; False: told to end. Raises ConfigError for a folder that can't be used."""
+        """Ends the tasks after the loop has stopped; returns False if told to end.
+
+        Raises ConfigError for a folder that can't be used.
+        """
         self.scheduler.cancel_wait(self.signals.fileno())
         self.scheduler.stopped = False
         if self.config_error is not None:
             raise self.config_error
-        # told to end, it ends by the relay's shutdown
+        # With a handover it starts even if told to end, and ends by the relay's shutdown.
         return self.handover is not None or not self.stop_requested
 
     def read_signals(self) -> None:
+        """Records signals until the wait is cancelled."""
         while self.scheduler.wait(self.signals.fileno(), READ) != CANCELLED:
             self.record_signals(self.signals.recv(64))
 
     def record_signals(self, signal_numbers: bytes) -> None:
-        """Signals that have come, a byte each."""
-        self.pending_signals += signal_numbers  # the relay acts on them once it is there
+        """Keeps signals, a byte each, for the Process; SIGTERM or SIGINT also ends the wait."""
+        self.pending_signals += signal_numbers
         if signal.SIGTERM in self.pending_signals or signal.SIGINT in self.pending_signals:
             self.stop_requested = True
             self.scheduler.stopped = self.scheduler.stopped or self.handover is None
 
     def acquire_lock_and_log(self) -> None:
+        """Waits for the lock and the log, then stops the loop; keeps a ConfigError for `finish`."""
         try:
             self.acquire_lock()
-            # Danger: with the connections of the process before it owes their answers, so it goes on although told to end.
+            # With the connections of the old process it owes their answers, so after a handover it
+            # goes on although told to end.
             while (
                 self.handover is not None or not self.stop_requested
             ) and not self.startup.try_open_log():
@@ -112,6 +123,7 @@
         self.scheduler.stopped = True
 
     def acquire_lock(self) -> None:
+        """Waits until the lock is free or handed over, or until told to end."""
         logged_at, next_ask_at, retry_delay = 0, 0, RETRY_DELAY
         while not self.stop_requested and self.startup.lock is None:
             if (
@@ -131,7 +143,7 @@
             self.scheduler.sleep_until(self.clock() + RETRY_DELAY)
 
     def request_handover(self) -> bool:
-        """Has the process that serves now hand over, if it can be reached and does; whether that was begun and broke off."""
+        """Asks the serving process to hand over; returns whether a handover began and broke off."""
         handover, channel = Handover(), None
         try:
             channel = MessageChannel(
@@ -145,7 +157,7 @@
             channel.send({"k": "mine"}, self.clock() + MESSAGE_TIMEOUT)
             self.handover, self.startup.lock = handover, handover.lock
         except (ConnectionBroken, TimedOut, OSError, KeyError, TypeError, ValueError) as error:
-            # the lock's copy too: it stays with whoever has it
+            # Includes this process's copy of the lock's descriptor; the old process keeps the lock.
             handover.close(self.machine)
             if not isinstance(error, OSError):
                 self.log.warning("no hand-over", error=repr(error))
@@ -156,7 +168,10 @@
         return False
 
     def receive_row(self, handover, message, body, fd) -> bool:
-        """One row of what the old process hands over; whether more is to come."""
+        """Stores one row of the handover; returns whether more rows follow.
+
+        Raises ValueError for an unknown row, KeyError for an incomplete one.
+        """
         kind = message["k"]
         if kind == "lock" and fd is not None:
             handover.lock = fd
@@ -177,9 +192,10 @@
 
 
 class HandoverServer:
-    """The process that serves: waits for the next one, and hands over."""
+    """Waits, in the serving process, for the next process and hands over to it."""
 
     def __init__(self, process):
+        """Opens the upgrade socket and starts the task that serves it."""
         self.process, self.scheduler, self.clock, self.log = (
             process,
             process.scheduler,
@@ -191,13 +207,18 @@
         self.scheduler.spawn_supervised(self.serve)
 
     def open_listener(self) -> None:
-        """Opens the meeting place. Danger: a folder that takes no file now is no reason to end: only an upgrade needs the place."""
+        """Opens the upgrade socket.
+
+        A failure is only logged: the folder may take no file for a while, and the relay must not
+        end for a socket that only an upgrade needs.
+        """
         try:
             self.listener = self.scheduler.machine.listen_for_successor(self.process.config.state)
         except OSError as error:
             self.log.error("no meeting place for upgrades", error=str(error))
 
     def serve(self) -> None:
+        """Accepts one successor after another until one has taken over."""
         while self.listener is None:
             self.scheduler.sleep_until(self.clock() + MAX_RETRY_DELAY)
             self.open_listener()
@@ -225,12 +246,13 @@
         self.listener.close()
 
     def hand_over(self, channel) -> None:
+        """Drains this process and hands over; resumes service if the handover breaks off."""
         started_at, process = self.clock(), self.process
         process.pause_intake()
         while self.clock() < started_at + DRAIN_TIMEOUT and not process.is_drained():
             self.scheduler.sleep_until(self.clock() + MS)
+        # Their clients have got no answer, and the next process could not know that.
         process.clients.close_unanswered()
-        # danger: their clients have not heard, and the next process could not know
         self.scheduler.yield_now()
         rows, error, deadline = (
             process.prepare_handover(started_at),
@@ -238,7 +260,7 @@
             self.clock() + TRANSFER_TIMEOUT,
         )
         try:
-            # danger: the next process goes by the log, and would not know of it
+            # The next process knows only what is in the log.
             if process.engine.unwritten_rows:
                 raise ConnectionBroken("the log does not take records")
             for message, body, sock in rows:
@@ -246,7 +268,8 @@
             channel.send({"k": "lock"}, deadline, fd=process.lock)
             reply = channel.receive(deadline)[0]
         except (ConnectionBroken, TimedOut) as failure:
-            # Danger: its word may be on the way, and it may begin to write. After the line's end none can come any more.
+            # The new process's `mine` may be on the way, and then it begins to write the log. After
+            # the shutdown of the connection no message can arrive any more.
             error, reply = (
                 failure,
                 {"k": "mine"} if {"k": "mine"} in channel.drain_after_shutdown() else {},
@@ -263,7 +286,11 @@
 
 
 def handover_rows(process, started_at: int):
-    """All that passes, as rows (message, body, socket or None); nothing of it is used by this process unless it comes back."""
+    """Detaches all that is handed over; returns it as rows (message, body, socket or None).
+
+    This process uses none of it any more unless the handover breaks off. `started_at`: when the
+    handover began, nanoseconds on the monotonic clock.
+    """
     core, rows = process.core, []
     state, learned = core.handover_state()
     rows += [
@@ -289,7 +316,7 @@
 
 
 def accept_handover(process, handover) -> ev.HandoverReceived:
-    """Has connections and calls go on in the new process; what its core is to know of them."""
+    """Continues the connections and calls in the new process; returns the event for its core."""
     held, calls, lost = process.core.callbacks, [], list(handover.state["lost"])
     for message, body, sock in handover.connections:
         kind = message["k"]
