--- a/molehill/config.py
+++ b/molehill/config.py
@@ -1,4 +1,4 @@
-"""Configuration: read, checked and given defaults in this one place, for the relay and for the bench's adapter.
+"""Reads and checks the configuration and sets defaults, for the relay and the bench's adapter.
 
 A message about a faulty value names its key: `settings.allowed.connIdleMs: 'x' is not a time`.
 """
@@ -16,7 +16,7 @@
     "deduplicated": interface.DeliverySemantics.DEDUPLICATED,
     "at_most_once": interface.DeliverySemantics.AT_MOST_ONCE,
 }
-NS_DIGITS = 6  # a millisecond holds 10^6 nanoseconds
+NS_DIGITS = 6  # a millisecond has 10^6 nanoseconds
 MS = 10**NS_DIGITS
 SECOND = 1000 * MS
 NUMBER_PATTERN = re.compile(
@@ -25,11 +25,14 @@
 
 
 class ConfigError(Exception):
-    """A value that can't be used; the text names the key."""
+    """A value can't be used; the text begins with its key."""
 
 
 def parse_nanoseconds(text: str, digits: int = NS_DIGITS) -> int:
-    """Milliseconds (10^digits ns) as text to whole nanoseconds, exactly; what lies below a nanosecond is cut."""
+    """Converts text in units of 10^digits ns, by default milliseconds, to whole nanoseconds.
+
+    The conversion is exact; fractions of a nanosecond are truncated. Raises ConfigError.
+    """
     found = NUMBER_PATTERN.match(text)
     if not found:
         raise ConfigError(f"'{text}' is not a time")
@@ -42,6 +45,7 @@
 
 
 def parse_integer(text: str) -> int:
+    """Returns the whole number that the text spells; raises ConfigError."""
     try:
         return int(text)
     except ValueError:
@@ -49,6 +53,7 @@
 
 
 def parse_float(text: str) -> float:
+    """Returns the number that the text spells; raises ConfigError."""
     try:
         return float(text)
     except ValueError:
@@ -56,6 +61,7 @@
 
 
 def parse_choice(text: str, table: dict):
+    """Returns the value of this name in the table; raises ConfigError for another name."""
     try:
         return table[text]
     except KeyError:
@@ -63,11 +69,16 @@
 
 
 def parse_flag(text: str) -> bool:
+    """Returns whether the text means true; any other text than "true" and "1" means false."""
     return text in ("true", "1")
 
 
 def flatten(value, path: str = "") -> dict[str, str]:
-    """Nested JSON as the bench's path=value pairs: rows of scalars by commas, rows of objects by count."""
+    """Converts nested JSON to the bench's path=value pairs.
+
+    A list of scalars becomes one value with commas, a list of objects gets a `.count` and a path
+    for each index.
+    """
     if isinstance(value, dict):
         return {
             key: text
@@ -85,20 +96,25 @@
 
 
 class NumberText(str):
-    """A number as the file spells it; other text in its place is no number."""
+    """A number as the file spells it, told apart from text that stands where a number should."""
 
 
 def reject_constant(text):
-    raise ConfigError(f"{text} is no number that can be used")
+    """Refuses NaN and the infinities, which Python's JSON parser would accept."""
+    raise ConfigError(f"{text} is not a finite number")
 
 
-OPAQUE_PATHS = ("known", "fleet.seeds")
-DEDUPLICATION_KEYS = ("dedupScope", "dedupWindowMs")
+OPAQUE_PATHS = ("known", "fleet.seeds")  # lists by name, whose keys are no settings
+DEDUPLICATION_KEYS = ("dedupScope", "dedupWindowMs")  # needed by deduplicated classes only
 
 
 def key_paths(value, path: str = "") -> set[str]:
-    """The keys that a file names, by path; by `*` those that each row of a list has, but for what only some effects need.
-    Not those below lists by name: of hosts, which is none of ours, and of seeds, which come and go."""
+    """Returns the paths of the keys that a file has.
+
+    `*` stands for the rows of a list: a key counts if every row has it, except keys that only some
+    semantics need. Keys below OPAQUE_PATHS are left out: the hosts belong to discovery, and seeds
+    come and go.
+    """
     found = {path} if path else set()
     if isinstance(value, dict) and path not in OPAQUE_PATHS:
         for name, part in value.items():
@@ -110,6 +126,7 @@
 
 
 def scalar(value) -> str:
+    """Returns a JSON scalar as the bench spells it; "-" stands for null."""
     return (
         "-"
         if value is None
@@ -120,12 +137,16 @@
 
 
 class ValueReader:
-    """Values by path; absent ones ('-' or empty) get the default."""
+    """Reads values by path; absent ones ('-' or empty) get the default.
+
+    `prefix` is put before the path in errors.
+    """
 
     def __init__(self, values: dict[str, str], prefix: str = ""):
         self.values, self.prefix = values, prefix
 
     def get(self, path, parse, default):
+        """Returns the parsed value of a path, or the default; raises ConfigError with the path."""
         text = self.values.get(path, "")
         if text in ("", "-"):
             return default
@@ -135,18 +156,19 @@
             raise ConfigError(f"{self.prefix}{path}: {error}") from None
 
     def read_list(self, path, parse=str):
+        """Returns the parsed items of a value with commas; an absent value gives an empty list."""
         return self.get(path, lambda text: [parse(part) for part in text.split(",")], [])
 
 
 def parse_settings(values: dict[str, str], prefix: str = "") -> interface.Settings:
-    """What the module goes by; unknown keys are passed over, absent ones left to the defaults."""
+    """Returns the decision module's settings; ignores unknown keys, absent ones get defaults."""
     reader = ValueReader(values, prefix)
     get, read_list = reader.get, reader.read_list
-    categories = []
+    callback_classes = []
     for n in range(get("grades.count", parse_integer, 0)):
         key_path = f"grades.{n}."
         scope = values.get(key_path + "dedupScope", "")
-        categories.append(
+        callback_classes.append(
             interface.CallbackClass(
                 get(
                     key_path + "semantics",
@@ -181,7 +203,7 @@
         for n in range(max(len(apart), len(per_call)))
     ]
     return interface.Settings(
-        callback_classes=categories,
+        callback_classes=callback_classes,
         tenants=tenants,
         kinds=kinds,
         zone_fees=read_list("extra.feeByZone", parse_float),
@@ -207,7 +229,10 @@
 
 
 def limit_field_indexes(values: dict[str, str]):
-    """Where reports hold the limit in calls a second and the share of it that is left; None without the limit."""
+    """Returns the positions in hosts' reports of the limit and of the share of it that is left.
+
+    The limit is in calls per second. Returns None if reports have no limit.
+    """
     fields = values.get("telemetry.fields", "").split(",")
     return (
         (fields.index("x1"), fields.index("x0") if "x0" in fields else None)
@@ -218,17 +243,17 @@
 
 @dataclass(slots=True)
 class FleetConfig:
-    """Membership among relays: who this one is to others, whom it is told of, what it may say."""
+    """Settings of membership among relays."""
 
-    name: str  # of the fleet: what bears another name is not read
-    listen: tuple[str, int]  # datagrams and streams
-    seeds: dict  # name of a relay -> its address; this one's own is passed over
-    keys: list  # bytes; the first signs, both are believed
-    bytes_per_s: int
-    durations: dict  # of membership's settings, by name, in ns
+    name: str  # of the fleet; messages with another fleet's name are ignored
+    listen: tuple[str, int]  # for datagrams and streams
+    seeds: dict  # name of a relay -> its address, without this relay itself
+    keys: list  # bytes; the first signs, signatures of both are accepted
+    bytes_per_s: int  # limit for what this relay sends
+    durations: dict  # name in membership's settings -> nanoseconds
 
 
-# name in the file -> its name in membership's settings
+# Name in the file -> name in membership's settings.
 FLEET_DURATIONS = {
     "roundMs": "protocol_period",
     "floorMs": "min_ack_timeout",
@@ -237,81 +262,87 @@
     "forgetAfterMs": "forget_after",
     "syncEveryMs": "sync_interval",
 }
-# membership's own defaults: config imports nothing of it
+# Membership's own defaults, repeated because this module must not import membership.
 DEFAULT_ROUND, DEFAULT_ALONE_AFTER = 500 * MS, 2000 * MS
-# a second; 300 relays use a third of it (docs/design/membership.md)
+# 300 relays use a third of it (docs/design/membership.md).
 DEFAULT_FLEET_BYTES_PER_S = 20_000
-FLEET_SOCKETS = 6  # datagrams, a listener, four streams
+FLEET_SOCKETS = 6  # one for datagrams, a listener, four streams
 MIN_KEY_BYTES, MAX_KEY_BYTES = 16, 64  # bytes
 
 
 @dataclass(slots=True)
 class TraceFile:
-    """Where the steps of each callback are written; `max_bytes`: bytes of it and the one before it together."""
+    """The trace file; `max_bytes` limits it and the rotated one before it together."""
 
     path: str
     max_bytes: int
 
 
-DEFAULT_TRACE_MB = 64  # a day's traffic of a busy relay takes some hundred
+DEFAULT_TRACE_MB = 64  # a day's traffic of a busy relay takes some hundred MB
 
 
 @dataclass(slots=True)
 class Config:
+    """The checked configuration of a relay; spans are nanoseconds."""
+
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
-    state: str
+    state: str  # folder
     seed: int
     settings: interface.Settings
-    callback_classes: dict[str, int]  # by the name that a client gives
+    callback_classes: dict[str, int]  # name that a client gives -> index; the next three likewise
     tenants: dict[str, int]
     zones: dict[str, int]
     kinds: dict[str, int]
-    known: dict  # the list as last had, in discovery's form
-    period: int  # least span between two steps of the module
+    known: dict  # the last known host list, in discovery's format
+    period: int  # least span between two steps of the decision module
     connect_time_out: int
-    sockets: int  # connections in all, and those that clients may have of them
-    client_sockets: int
-    # of those, how many may stand idle after their answer before some are ended
+    sockets: int  # connections in all
+    client_sockets: int  # of `sockets`, for clients
+    # Of `client_sockets`, how many may be idle after their answer before some are closed.
     client_idle: int
     disk: int  # bytes
-    memory: int
-    admin: Optional[tuple[str, int]] = None  # the operators' door; None: none is opened
-    fleet: Optional[FleetConfig] = None  # None: nothing of membership is imported
-    trace: Optional[TraceFile] = None  # None: no steps are written
-    # as the file that was read last has it, whatever a variable says
+    memory: int  # bytes
+    admin: Optional[tuple[str, int]] = None  # address of the admin server; None: no server
+    fleet: Optional[FleetConfig] = None  # None: membership is not imported
+    trace: Optional[TraceFile] = None  # None: tracing is off
+    # The value in the file that was read last, even if a variable overrides it.
     discovery_in_file: Optional[str] = None
-    # keys that the file's settings name: a later file without one of them is broken
+    # Paths of the keys in the file; a later file that lacks one of them is rejected.
     required_keys: tuple = ()
 
 
-DEFAULT_CONNECT_TIMEOUT = (
-    1500 * MS
-)  # where no setting tells: the users' figure on all their deployments
-DEFAULT_PERIOD = 5 * MS  # likewise
+# The defaults are the users' figures on all their deployments.
+DEFAULT_CONNECT_TIMEOUT = 1500 * MS
+DEFAULT_PERIOD = 5 * MS
+# The users' maximum on scored days, so the defaults are never too large.
 DEFAULT_SOCKETS, DEFAULT_DISK_MB, DEFAULT_MEMORY_MB = (
     1024,
     3,
     192,
-)  # likewise: the most on scored days, so never too much
-# idle connections are used no longer so early: a request on its way crosses no end
+)
+# Idle connections are not used in the last part of their idle time, so that a request in transit
+# does not cross the close.
 IDLE_MARGIN = 200 * MS
-# descriptors beside sockets: standard streams, log twice, signals twice, one to spare
+# Descriptors that are not sockets: standard streams, log (2), signals (2), one spare.
 RESERVED_DESCRIPTORS = 8
-# Clients hold a third of a relay's descriptors at most, idle connections among them: those that the relay keeps open for
-# nobody shut out new requests before the relay is short of anything itself. An eighth leaves clients five eighths of
-# theirs for what is under way. Tried on incident rcb7e34: see docs/status.md.
+# Clients hold a third of a relay's descriptors at most, including idle connections. Idle ones that
+# the relay keeps open for nobody would shut out new requests before the relay itself runs short of
+# anything. An eighth leaves clients five eighths of their share for active requests. Incident
+# rcb7e34 in docs/status.md shows the fault.
 CLIENT_IDLE_DIVISOR = 8
-# operators' calls at once: a few people and a scraper, and as many that hold one and say nothing
+# Concurrent connections of operators: a few people and a scraper, and as many again that hold a
+# connection and send nothing.
 MAX_ADMIN_CONNECTIONS = 8
-# beside calls: discovery, notices, one to spare for each; kept free for them
+# Kept free beside calls: discovery, notices, and a spare for each.
 RESERVED_OUTGOING = 4
-# standard streams, log, discovery, notices, a listener and a few of each side
+# Enough for standard streams, log, discovery, notices, a listener and a few connections per side.
 MIN_SOCKETS = 32
 
 
 def parse_address(text, key: str) -> tuple[str, int]:
+    """Returns host and port of ADDRESS:PORT, an IPv6 address in brackets; raises ConfigError."""
     host, colon, port = str(text).rpartition(":")
     if (
         not colon
@@ -325,10 +356,11 @@
 
 
 def load(environ, previous: Optional[Config] = None) -> Config:
-    """The file that ROUTER_CONFIG names; single values of it may also come from the environment, which wins.
+    """Reads the file that ROUTER_CONFIG names; values from the environment win over the file's.
 
-    Read on SIGHUP, `previous` is what was taken last: the file's `discovery` is newer than the environment of the start, and
-    wins; and the file has to name each key that the one before did.
+    On SIGHUP `previous` is the configuration in use. Then the file's `discovery` is newer than the
+    environment of the start, and wins, and the file must have each key that the previous one had.
+    Raises ConfigError.
     """
     path = environ.get("ROUTER_CONFIG")
     if not path:
@@ -341,7 +373,8 @@
     if not isinstance(values, dict):
         raise ConfigError(f"ROUTER_CONFIG: {path}: not an object")
     if previous is not None:
-        # Danger: defaults in place of what a cut or mistyped file lacks would be new settings that nobody wrote.
+        # Defaults for keys that a truncated or mistyped file lacks would be settings that nobody
+        # wrote.
         check_keys_present(values, previous)
         environ = {
             key: text
@@ -352,7 +385,10 @@
 
 
 def check_keys_present(values: dict, previous: Config) -> None:
-    """Raises for a key that the file before named, in each row of its kind, and this one does not."""
+    """Raises ConfigError for a key of the previous file that is missing in this one.
+
+    A key that each row of a list had must be in each row of the new list.
+    """
 
     def check_level(value, path, expected):
         for name in sorted(expected):
@@ -365,7 +401,7 @@
                 else None
             )
             if parts is None:
-                raise ConfigError(f"{key_path}: missing; the file before has it")
+                raise ConfigError(f"{key_path}: missing; the previous file has it")
             for n, part in enumerate(parts):
                 if expected[name]:
                     check_level(part, f"{path}.{n}" if name == "*" else key_path, expected[name])
@@ -379,13 +415,14 @@
 
 
 def check_positive(value, key: str) -> None:
-    """Raises for what is not a number above 0 as JSON writes one; for what is not there it does not."""
+    """Raises ConfigError for a value that is not a JSON number above 0; accepts an absent one."""
     is_number = isinstance(value, (int, NumberText)) and not isinstance(value, bool)
     if value is not None and not (is_number and 0 < float(value) < 1e15):
         raise ConfigError(f"{key}: {value!r} is not a positive number")
 
 
 def read_object(values: dict, key: str, prefix: str = "") -> dict:
+    """Returns the JSON object under a key, empty if absent; raises ConfigError for other values."""
     value = values.get(key, {})
     if not isinstance(value, dict):
         raise ConfigError(f"{prefix}{key}: not an object")
@@ -393,6 +430,7 @@
 
 
 def read_objects(values: dict, key: str) -> list[dict]:
+    """Returns the list of objects under a key of `settings`; else raises ConfigError."""
     value = values.get(key, [])
     if not isinstance(value, list) or not all(isinstance(row, dict) for row in value):
         raise ConfigError(f"settings.{key}: not a list of objects")
@@ -400,17 +438,21 @@
 
 
 def read_key_file(path: str) -> list[bytes]:
-    """One or two keys in hex, a line each, from a file that nobody but its owner may read."""
+    """Reads one or two keys in hex, one per line, from a file that only its owner may read.
+
+    Raises ConfigError.
+    """
     try:
         with open(path, encoding="ascii") as file:
             if os.fstat(file.fileno()).st_mode & 0o077:
-                raise ConfigError(f"fleet.keyFile: {path}: others than its owner may read it")
+                raise ConfigError(f"fleet.keyFile: {path}: readable by others than its owner")
             return parse_hex_keys(file.read().split(), "fleet.keyFile")
     except (OSError, ValueError) as error:
         raise ConfigError(f"fleet.keyFile: {path}: {error}") from None
 
 
 def parse_hex_keys(texts, key: str) -> list[bytes]:
+    """Returns the keys that the texts spell in hex; raises ConfigError."""
     try:
         keys = [bytes.fromhex(word) for word in texts]
     except (TypeError, ValueError):
@@ -425,7 +467,10 @@
 
 
 def parse_fleet(values: dict, own_name: str) -> Optional[FleetConfig]:
-    """`fleet` of the file: off without it. `keys` stand in it themselves where the whole file is as secret as a key file."""
+    """Parses `fleet` of the file; returns None, i.e. membership is off, if it is absent.
+
+    The file may have the `keys` themselves if all of it is as secret as a key file.
+    """
     rows = read_object(values, "fleet")
     if not rows:
         return None
@@ -450,7 +495,7 @@
         "protocol_period", DEFAULT_ROUND
     ):
         raise ConfigError(
-            "fleet.aloneAfterMs: less than twice fleet.roundMs, so one lost answer would make it alone"
+            "fleet.aloneAfterMs: under twice fleet.roundMs; one lost answer would mark it as alone"
         )
     check_positive(rows.get("bytesPerS"), "fleet.bytesPerS")
     if "keyFile" not in rows and "keys" not in rows:
@@ -475,7 +520,7 @@
 
 
 def parse_trace_file(values: dict) -> Optional[TraceFile]:
-    """`trace` of the file: off without it."""
+    """Parses `trace` of the file; returns None, i.e. tracing is off, if it is absent."""
     rows = read_object(values, "trace")
     if not rows:
         return None
@@ -483,7 +528,7 @@
         if key not in ("file", "mb"):
             raise ConfigError(f"trace.{key}: unknown; one of file, mb")
     if not isinstance(rows.get("file"), str) or not rows["file"]:
-        raise ConfigError("trace.file: missing; it names the file that the steps are written to")
+        raise ConfigError("trace.file: missing; it names the file that the trace is written to")
     check_positive(rows.get("mb"), "trace.mb")
     max_bytes = ValueReader(flatten(rows), "trace.").get("mb", parse_float, DEFAULT_TRACE_MB)
     return TraceFile(rows["file"], int(max_bytes * 1_000_000))
@@ -493,8 +538,11 @@
 
 
 def check_class(row: dict, key_path: str) -> None:
-    """Raises for a class of message that lacks what its effect needs. Danger: a default in its place is a promise that nobody made,
-    and the relay would serve by it for a day before anybody asks."""
+    """Raises ConfigError for a callback class that lacks what its semantics need.
+
+    A default instead would be a promise that nobody made, and the relay could serve by it for a day
+    before anybody notices.
+    """
     needed: tuple[str, ...] = ("name", "semantics", "deadlineMs")
     if row.get("semantics") == "deduplicated":
         needed += DEDUPLICATION_KEYS
@@ -510,6 +558,7 @@
 
 
 def parse_config(values: dict, environ) -> Config:
+    """Builds the configuration from the file's values and the environment; raises ConfigError."""
     settings_object, limits, known = (
         read_object(values, "settings"),
         read_object(values, "limits"),
@@ -519,9 +568,9 @@
     reader, limit_reader = ValueReader(pairs, "settings."), ValueReader(flatten(limits), "limits.")
     parsed = parse_settings(pairs, "settings.")
     if not parsed.callback_classes:
-        raise ConfigError("settings.grades: no class of message is given")
+        raise ConfigError("settings.grades: has no callback class")
     if len(name_indexes(settings_object, "grades")) != len(parsed.callback_classes):
-        raise ConfigError("settings.grades: two classes have one name")
+        raise ConfigError("settings.grades: two classes have the same name")
     for n, row in enumerate(read_objects(settings_object, "grades")):
         check_class(row, f"settings.grades.{n}.")
     check_positive(
@@ -530,7 +579,7 @@
     )
     state = environ.get("ROUTER_STATE") or values.get("state")
     if not state:
-        raise ConfigError("ROUTER_STATE: not set; it names the folder that lasts")
+        raise ConfigError("ROUTER_STATE: not set; it names the persistent folder")
     seed_text = str(values.get("seed", "0"))
     try:
         seed = int(seed_text, 16)
@@ -544,7 +593,8 @@
     admin = environ.get("ROUTER_ADMIN") or values.get("admin")
     name = environ.get("ROUTER_NAME") or str(values.get("name", "relay"))
     fleet_config, trace_config = parse_fleet(values, name), parse_trace_file(values)
-    # Set aside, with an upgrade's two: neither side starves the other.
+    # Descriptors of operators (with the admin listener and two for an upgrade), of membership and
+    # of the trace are set aside, so that neither side starves the other.
     available = (
         sockets
         - RESERVED_DESCRIPTORS
@@ -552,7 +602,8 @@
         - (FLEET_SOCKETS if fleet_config else 0)
         - (1 if trace_config else 0)
     )
-    # Half is for calls and idle connections to hosts, and a slot's worth at least; a quarter at least for clients.
+    # Half is for calls and idle connections to hosts, and at least enough for max_calls; but at
+    # least a quarter is for clients.
     outgoing = min(max(parsed.max_calls + RESERVED_OUTGOING, available // 2), available * 3 // 4)
     disk, memory = (
         limit_reader.get("disk_mb", parse_float, DEFAULT_DISK_MB),
@@ -570,11 +621,11 @@
         ),
         state=state,
         seed=seed,
-        # on sockets the list never comes unasked
+        # Over sockets the host list never comes without a request.
         settings=replace(
             parsed,
             list_on_request=True,
-            # no more calls than can have a connection
+            # Each call needs a connection.
             max_calls=min(parsed.max_calls, outgoing - RESERVED_OUTGOING),
             connection_idle=max(
                 0, parsed.connection_idle - max(parsed.connection_idle // 10, IDLE_MARGIN)
@@ -604,7 +655,7 @@
     )
 
 
-# taken at SIGHUP
+# Fields that SIGHUP applies.
 APPLIED_ON_RELOAD = (
     "discovery",
     "settings",
@@ -613,14 +664,14 @@
     "fleet",
     "required_keys",
 )
-# new with each start, or learnt
+# Fields that are new with each start, or learned.
 NOT_COMPARED = ("seed", "known", "zones", "discovery_in_file")
-# of `settings`: built into what stands
+# Fields of `settings` that are fixed at the start, because existing objects are built from them.
 FIXED_SETTINGS = ("kinds", "zone_fees", "connection_idle", "list_on_request")
 
 
 def changes_at_next_start(old: Config, new: Config) -> list[str]:
-    """What differs and counts from the next start on."""
+    """Returns the names of the values that differ and apply only from the next start on."""
     found = [
         field.name
         for field in fields(old)
@@ -637,7 +688,7 @@
 
 
 def apply_reload(old: Config, new: Config) -> None:
-    """Has `old` go by what a file read again says, but for what counts from the next start on."""
+    """Updates `old` from a file that was read again, except what applies only at the next start."""
     new.settings = replace(
         new.settings,
         **{name: getattr(old.settings, name) for name in FIXED_SETTINGS},
@@ -648,6 +699,7 @@
 
 
 def name_indexes(settings_object: dict, key: str) -> dict[str, int]:
+    """Returns name -> index for a list of names or of objects with a `name`."""
     rows = settings_object.get(key) or []
     if not isinstance(rows, list):
         raise ConfigError(f"settings.{key}: not a list")
