--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What several test files start from, and the list of failures that are known."""
+"""Shared fixtures, and the handling of known failures (KNOWN-RED.txt)."""
 
 from pathlib import Path
 
@@ -11,7 +11,10 @@
 
 
 def known_red() -> dict[str, str]:
-    """Test id -> its cause and issue, from KNOWN-RED.txt: a line each, `TEST: cause (issue N)`."""
+    """Reads KNOWN-RED.txt, with a line `TEST: cause (issue N)` for each test.
+
+    Returns test id -> cause and issue.
+    """
     if not KNOWN_RED.exists():
         return {}
     lines = [
@@ -27,7 +30,10 @@
 
 
 def pytest_collection_modifyitems(items):
-    """A listed test is a strict expected failure: it may neither pass nor be missing from its file."""
+    """Marks listed tests as strict expected failures.
+
+    A listed test that passes is a failure, and one that its file does not have is a usage error.
+    """
     listed = known_red()
     files = {item.nodeid.partition("::")[0] for item in items}
     for test, reason in listed.items():
@@ -39,13 +45,14 @@
 
 
 def pytest_terminal_summary(terminalreporter):
+    """Prints the listed tests after each run."""
     for test, reason in known_red().items():
         terminalreporter.write_line(f"KNOWN RED {test}: {reason}")
 
 
 @pytest.fixture
 def harness(tmp_path):
-    """One relay on loopback sockets with its other parties, closed at the end."""
+    """One relay on loopback sockets with its peers, closed at the end."""
     made = RelayHarness(tmp_path)
     yield made
     made.close()
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,4 +1,4 @@
-"""One whole relay on loopback sockets and a clock moved by hand, with the other parties' ends of its connections."""
+"""One whole relay on loopback sockets and a manual clock, and its peers' ends of connections."""
 
 import os
 import socket
@@ -18,10 +18,10 @@
 
 
 class RelayHarness:
-    """Other parties of one relay: a host, the platform (discovery and notices) and a client."""
+    """A relay and its peers: a host, the platform (discovery and notices) and clients."""
 
     def __init__(self, folder, machine=Kernel, **file_values):
-        """`machine(clock)`: what each process of the relay is handed; `file_values`: keys of its file."""
+        """`machine(clock)` makes the machine of each process; `file_values`: keys of its file."""
         self.file_values = file_values
         self.folder, self.clock, self.open_sockets, self.machine = (
             folder,
@@ -33,12 +33,14 @@
         self.start_process()
 
     def open_listener(self):
+        """Returns a non-blocking listener on loopback, closed with the harness."""
         sock = socket.create_server(("127.0.0.1", 0))
         sock.setblocking(False)
         self.open_sockets.append(sock)
         return sock
 
     def config(self, **file_values):
+        """Returns a configuration that knows the one host h1 and has these keys of the file."""
         at = "127.0.0.1:%d" % self.host.getsockname()[1]
         known = {
             "index": 1,
@@ -62,6 +64,7 @@
         )
 
     def start_process(self):
+        """Starts a process on the harness's folder, which becomes `relay`."""
         self.relay = Process(
             self.config(**self.file_values),
             self.machine(self.clock),
@@ -76,16 +79,19 @@
         self.run_rounds()
 
     def run_rounds(self, rounds=40):
+        """Runs rounds of the relay's loop without moving the clock."""
         for _ in range(rounds):
             self.relay.scheduler.run_once(block=False)
 
     def advance(self, span, step=5 * MS):
+        """Moves the clock by `span` nanoseconds in steps, and runs rounds after each step."""
         until = self.clock.now + span
         while self.clock.now < until:
             self.clock.now = min(until, self.clock.now + step)
             self.run_rounds(4)
 
     def accept(self, listener):
+        """Returns the next connection to a listener; fails if none comes within a second."""
         for _ in range(200):
             self.advance(5 * MS)
             try:
@@ -95,10 +101,13 @@
             sock.setblocking(False)
             self.open_sockets.append(sock)
             return sock
-        raise AssertionError("nobody came")
+        raise AssertionError("no connection came")
 
     def read_at_platform(self, connections) -> bytes:
-        """What has come to the platform since the last look, on these connections and one more that is taken into them."""
+        """Returns what the platform has received on these connections since the last call.
+
+        A new connection, if there is one, is accepted and appended to `connections`.
+        """
         try:
             sock, _ = self.platform.accept()
         except BlockingIOError:
@@ -110,12 +119,14 @@
         return b"".join(drain(sock) or b"" for sock in connections)
 
     def connect_client(self):
+        """Returns the client's end of a new connection to the relay."""
         sock = socket.create_connection(self.address)
         sock.setblocking(False)
         self.open_sockets.append(sock)
         return sock
 
     def read_until(self, sock, wanted):
+        """Reads until `wanted` is in the data, within a second; returns the data."""
         data = b""
         for _ in range(200):
             self.advance(5 * MS)
@@ -125,12 +136,13 @@
         raise AssertionError(f"{wanted!r} did not come: {data!r}")
 
     def close(self):
+        """Closes the sockets of all peers."""
         for sock in self.open_sockets:
             sock.close()
 
 
 def kill_and_restart(harness):
-    """SIGKILL and a new start: all that the old process had open is closed, and nothing of it runs on."""
+    """Simulates SIGKILL and a new start: closes all that the old process had open, and stops it."""
     old = harness.relay
     old.store.close()
     streams = [
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Configuration: both adapters get the same settings, and faults are told by key."""
+"""Configuration: both adapters get the same settings, and errors name the faulty key."""
 
 import json
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""The trace file tells a callback's story in order, within its room, and through calls that fail."""
+"""The trace file has a callback's steps in order, stays within its limit, and survives errors."""
 
 import errno
 import json
