--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""One relay whole, on loopback sockets and a clock moved by hand: a callback through, an end in order, a restart."""
+"""One whole relay on loopback sockets and a manual clock: delivery, shutdown, restart, reload."""
 
 import json
 import signal
@@ -58,7 +58,7 @@
         == ["id1", "id2", "id3", "id4"]
         == list(first.core.callbacks)
     )
-    harness.advance(Core.LIST_TIMEOUT)  # discovery says nothing here
+    harness.advance(Core.LIST_TIMEOUT)  # discovery does not answer in this test
     again = harness.accept(harness.host)
     assert b"Req-Id: id1" in harness.read_until(
         again, b"\r\n\r\nab"
@@ -96,7 +96,7 @@
         },
     )()
     monkeypatch.setenv("ROUTER_CONFIG", str(file))
-    # as it was at the start
+    # The same address as at the start.
     monkeypatch.setenv("ROUTER_DISCOVERY", "%s:%d" % harness.platform.getsockname())
     relay.signals, other = socket.socketpair()
     harness.open_sockets += [other, relay.signals]
@@ -109,7 +109,7 @@
     old = [harness.accept(harness.platform)]
     harness.advance(15_100 * MS, step=50 * MS)
     old.append(harness.accept(harness.platform))
-    assert list(relay.notices.unanswered) == ["id1"], "posted, and not answered"
+    assert list(relay.notices.unanswered) == ["id1"], "sent, and not answered"
     for text in (
         "{",
         json.dumps(net_config_fields(discovery="nowhere", known={})),
@@ -153,10 +153,13 @@
 def test_shutdown_reads_no_request_that_it_cannot_answer(
     harness,
 ):
-    """Danger: a request that gets whole in the very turn in which the relay ends is read, never answered, and lost."""
+    """A request must not be lost that becomes complete in the round in which the relay ends.
+
+    If it were read then, it would never be answered.
+    """
     relay, client = harness.relay, harness.connect_client()
     client.send(REQUEST % b"id1")
-    harness.read_until(client, b"HTTP/1.1 202")  # its call is out at a host that hangs
+    harness.read_until(client, b"HTTP/1.1 202")  # its call is in flight at a host that hangs
     seen, moved = [], relay.shutdown.change_state
     relay.shutdown.change_state = lambda state: (
         seen.append((state, (harness.clock.now - began) // (100 * MS))),
@@ -164,7 +167,7 @@
     )
     began = harness.clock.now
     for _ in range(3):
-        relay.shutdown.begin()  # told again, it goes on with the first
+        relay.shutdown.begin()  # only the first call has an effect
     harness.advance(2900 * MS)
     client.send(REQUEST % b"id2")
     assert b"Connection: close" not in harness.read_until(client, b"HTTP/1.1 202")
@@ -176,11 +179,11 @@
     harness.advance(300 * MS)
     assert (
         drain(client) is None and not relay.scheduler.stopped
-    ), "idle ones are closed, one with a request begun is waited for"
+    ), "idle connections are closed, one with a request begun is waited for"
     harness.advance(began + 3499 * MS - harness.clock.now)
     harness.clock.now = began + 3510 * MS
     harness.run_rounds(1)
-    other.send(b"b")  # between two looks at what has come
+    other.send(b"b")  # between two polls
     harness.run_rounds(3)
     assert (
         relay.scheduler.stopped
@@ -197,7 +200,7 @@
 
 
 def test_torn_and_unreadable_log_records_are_reported(harness, capfd):
-    """Danger: one odd record keeps the relay from its start, or what was cut off is told to nobody."""
+    """One unreadable record must not prevent the start, and truncated bytes must be reported."""
     client = harness.connect_client()
     client.send(REQUEST % b"id1")
     harness.read_until(client, b"HTTP/1.1 202")
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,7 @@
-"""One relay's two processes on loopback sockets and one clock moved by hand: what passes, and a kill of either at each step."""
+"""Upgrades of one relay, with both processes on loopback sockets and one manual clock.
+
+The tests check what is handed over, and a kill of either process at each step.
+"""
 
 import os
 import signal
@@ -20,8 +23,10 @@
 
 
 class UpgradeHarness(RelayHarness):
+    """A relay whose processes run in turn; `old` is the one that served first."""
+
     def __init__(self, folder):
-        # schedulers that run; what the file says otherwise by now
+        # `reloaded_values`: fields of the configuration that the file has changed since the start.
         self.running_schedulers, self.reloaded_values = [], {}
         super().__init__(folder)
         self.address = self.old.clients.listener.getsockname()
@@ -44,7 +49,7 @@
         )
 
     def start_process(self):
-        """A process that has begun, or, while another has the folder, one that looks for the lock."""
+        """Starts a process; returns its Startup, which waits, if another process has the lock."""
         config = self.config()
         startup = Startup(config, Kernel(self.clock), Sink())
         signals, other = socket.socketpair()
@@ -60,6 +65,7 @@
         return self.old
 
     def begin_process(self, startup, config, signals):
+        """Returns a process that serves, from a Startup that has the lock and the log."""
         process = Process(
             config,
             startup.scheduler.machine,
@@ -77,7 +83,7 @@
                 scheduler.run_once(block=False)
 
     def finish_upgrade(self, startup):
-        """Turns both until the next process has the folder, and has it begin."""
+        """Runs both processes until the next one has the folder; returns it when it serves."""
         for _ in range(400):
             self.advance(5 * MS)
             if startup.scheduler.stopped:
@@ -96,7 +102,7 @@
         return sock
 
     def accept_calls(self):
-        """Accepts what has come to the host; gives its connections."""
+        """Accepts the connections to the host within 100 ms; returns them."""
         found = []
         for _ in range(20):
             self.advance(5 * MS)
@@ -127,9 +133,9 @@
     ids = [text.split(b"Req-Id: ")[1][:3] for text in texts]
     assert (
         len(ids) == 2 and b"id0" in ids and b"id1" not in ids
-    ), "a key's next waits, the window is two"
+    ), "the next callback of a key waits, the window is two"
     hosts[0].send(DELIVERED[:20])
-    hosts[1].send(DELIVERED[:-1])  # half an answer, in its head and in its body
+    hosts[1].send(DELIVERED[:-1])  # partial answers, one ends in its head and one in its body
     half, whole, silent = (
         harness.connect_client((REQUEST % (b"id5", b"plain"))[:30]),
         harness.connect_client((REQUEST % (b"id4", b"plain"))[:-1]),
@@ -181,7 +187,7 @@
 ):
     harness.connect_client(REQUEST % (b"id0", b"notice"))
     running = harness.old.hosts.running_calls[1]
-    running.is_written = False  # as while its connection comes up
+    running.is_written = False  # as while its connection is being established
     new = harness.finish_upgrade(harness.start_process())
     assert new.core.callbacks["id0"].attempts <= 1 and len(harness.accept_calls()) >= 1
     assert new.core.metrics.relayed <= 1 and not new.core.callbacks["id0"].ran_at
@@ -193,10 +199,13 @@
 @pytest.mark.parametrize("who", ["new", "old"])
 @pytest.mark.parametrize("step", range(ROWS))
 def test_kill_at_any_handover_step_loses_nothing(harness, monkeypatch, who, step):
-    """Danger: two owners, or none. Whoever is left serves, holds all that was taken on, and writes the log alone."""
+    """A kill must not lead to two owners or none.
+
+    The process that is left serves, has all accepted callbacks, and alone writes the log.
+    """
     for n in range(3):
         assert b"202" in drain(harness.connect_client(REQUEST % (b"id%d" % n, b"plain")))
-    # and one has ended by a notice that is not answered
+    # One of them has ended by a notice that is not answered.
     owed = harness.old.core.callbacks["id2"]
     harness.old.core.effects = []
     harness.old.core._end_callback(owed, True, 0)
@@ -208,12 +217,12 @@
         more = receive_row(self, handover, message, body, fd)
         seen.append(message["k"])
         if len(seen) == step + 1:
-            raise ConnectionBroken("killed")  # closes what the kernel would
+            raise ConnectionBroken("killed")  # closes what the kernel would close
         return more
 
     def old_dies(self, message, until, body=b"", fd=None):
         seen.append(message["k"])
-        if len(seen) != step + 2:  # its own first word is the hello
+        if len(seen) != step + 2:  # the first message seen is the new process's hello
             return send(self, message, until, body, fd)
         harness.running_schedulers.remove(harness.old.scheduler)
         for sock in [s.sock for s in harness.old.hosts.streams.values()] + [
@@ -244,7 +253,7 @@
         startup = harness.start_process()
         left = harness.finish_upgrade(startup)
         harness.address = left.clients.listener.getsockname()
-    assert len(seen) > step, "every step there is was cut off"
+    assert len(seen) > step, "the kill at this step took place"
     assert left.can_serve() and {"id0", "id1", "id2"} == set(left.core.callbacks)
     assert b"202" in drain(harness.connect_client(REQUEST % (b"id3", b"plain")))
     for _ in range(12):
@@ -260,7 +269,7 @@
 
 
 def test_new_process_applies_file_reloaded_by_the_old(harness):
-    startup, made = harness.start_process(), harness.config()  # it has read the file by now
+    startup, made = harness.start_process(), harness.config()  # the new process has read the file
     harness.reloaded_values = {
         "settings": replace(
             made.settings, max_attempts=2, callback_classes=made.settings.callback_classes[:1]
@@ -280,7 +289,10 @@
 
 @pytest.mark.parametrize("step", [0, 5, ROWS - 1])
 def test_successor_that_hangs_can_never_write_later(harness, monkeypatch, step):
-    """Danger: it wakes after the old one has gone on, and takes itself for the owner. Its word finds no line any more."""
+    """A successor that wakes after the old process has resumed must not take itself for the owner.
+
+    Its `mine` finds the connection closed.
+    """
     for n in range(3):
         harness.connect_client(REQUEST % (b"id%d" % n, b"plain"))
     seen, receive_row, waking = [], upgrade.Successor.receive_row, []
@@ -290,7 +302,7 @@
         if len(seen) == step + 1:
             harness.running_schedulers.remove(startup.scheduler)
             waking.append(startup.scheduler)
-            startup.scheduler.sleep_until(harness.clock.now)  # its next turn comes when it wakes
+            startup.scheduler.sleep_until(harness.clock.now)  # it goes on when it wakes
         return receive_row(self, handover, message, body, fd)
 
     monkeypatch.setattr(upgrade.Successor, "receive_row", hangs)
@@ -304,7 +316,7 @@
     )
     assert b"202" in drain(harness.connect_client(REQUEST % (b"id3", b"plain")))
     harness.running_schedulers += waking
-    # asked again, the old one hands over after all
+    # Asked again, the old process hands over.
     new = harness.finish_upgrade(startup)
     assert harness.old.handed_over and set(new.core.callbacks) | set(
         new.core.recently_completed
@@ -338,7 +350,7 @@
     harness.advance(100 * MS)
     assert harness.old.handed_over and not harness.old.can_serve()
     monkeypatch.undo()
-    # what the kernel closes with a process
+    # Closes what the kernel closes when a process ends.
     got[-1].close(Kernel())
     third = harness.start_process()
     harness.advance(20 * MS)
@@ -375,7 +387,7 @@
 
 
 def test_sighup_during_handover_applies_to_new_process(harness):
-    """Danger: SIGHUP comes once the rows are made, and discovery's new address is known to nobody who serves."""
+    """Discovery's new address must not be lost if SIGHUP comes after the rows were prepared."""
     old, moved = harness.old, harness.open_listener().getsockname()
     prepare_handover = old.prepare_handover
 
@@ -392,7 +404,10 @@
 
 @pytest.mark.parametrize("moment", ["lock", "mine"])
 def test_sigterm_during_takeover_drops_no_connection(harness, monkeypatch, moment):
-    """Danger: it has every connection by then, or is about to, and ends with all of them unanswered."""
+    """A new process that gets SIGTERM must not end with its connections unanswered.
+
+    At these moments it has every connection, or is about to get them.
+    """
     client = harness.connect_client()
     startup = harness.start_process()
     other, send, receive_row = (
