--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,7 @@
-"""Calls that fail as Linux documents, a disk that fails for a while, and a wall clock that is stepped: one whole relay each time."""
+"""One whole relay under system call errors, a disk that fails for a while, or a wall-clock step.
+
+The system calls fail with errors that Linux documents for them.
+"""
 
 import errno
 import json
@@ -27,7 +30,11 @@
 
 
 class FailingDisk(Disk):
-    """`failing`: operation -> errno that it raises; `left`: bytes that writes still take before they fail, None for any."""
+    """A disk that fails as the test says.
+
+    `failing`: operation -> errno that it raises; `left`: bytes that writes still accept before they
+    fail, None for no limit.
+    """
 
     def __init__(self):
         self.failing, self.left = {}, None
@@ -69,13 +76,17 @@
 
 
 def submit(harness, client, ident, wanted=b"HTTP/1.1 202"):
+    """Sends a request with this id and reads up to the answer."""
     client.send(REQUEST % ident)
     return harness.read_until(client, wanted)
 
 
 @pytest.mark.parametrize("torn", [1, 30, 100])
 def test_callbacks_accepted_after_torn_record_survive_kill(failing_harness, torn):
-    """Danger: after a write that failed half way, and a truncation that failed too, all that is written lies behind a torn record."""
+    """Records must not be written behind a torn one, where the next start would not read them.
+
+    This happens if a write fails halfway and the truncation after it fails too.
+    """
     client, disk = failing_harness.connect_client(), failing_harness.disk
     submit(failing_harness, client, b"before")
     disk.left, disk.failing = torn, {"truncate": errno.EIO, "open": errno.EIO}
@@ -94,7 +105,10 @@
 
 @pytest.fixture
 def stepped_harness(tmp_path, monkeypatch):
-    """A relay on the kernel's clocks, both moved by hand; `wall_offset[0]`: how far the wall clock is off."""
+    """A relay on the kernel's clocks, both set by the test.
+
+    `wall_offset[0]`: nanoseconds from the monotonic to the wall clock.
+    """
     clock, wall_offset = ManualClock(), [1_700_000_000 * SECOND]
     monkeypatch.setattr(time, "monotonic_ns", clock)
     monkeypatch.setattr(time, "time_ns", lambda: clock.now + wall_offset[0])
@@ -106,7 +120,11 @@
 
 @pytest.mark.parametrize("step", [HOUR, -HOUR, -10 * SECOND])
 def test_wall_clock_step_moves_no_deadline_over_restart(stepped_harness, step):
-    """Danger: a deadline kept as wall time ends a callback untried, or lets an overdue one go without its notice."""
+    """A step of the wall clock must not move deadlines.
+
+    A deadline kept as wall time would end a callback without an attempt, or leave an overdue one
+    without its notice.
+    """
     client = stepped_harness.connect_client()
     submit(stepped_harness, client, b"id1")
     stepped_harness.advance(SECOND, 50 * MS)
@@ -114,7 +132,7 @@
     kill_and_restart(stepped_harness)
     assert not stepped_harness.relay.notices.unanswered
     accept_and_read(stepped_harness, stepped_harness.host, b"Req-Id: id1")
-    stepped_harness.clock.now += 15 * SECOND  # it stands still until it is killed
+    stepped_harness.clock.now += 15 * SECOND  # the relay does not run until it is killed
     stepped_harness.wall_offset[0] += step
     kill_and_restart(stepped_harness)
     stepped_harness.advance(100 * MS)
@@ -125,7 +143,7 @@
     "code", [errno.ECONNABORTED, errno.EPROTO, errno.EPERM, errno.ENETDOWN, errno.EOPNOTSUPP]
 )
 def test_accept_errors_do_not_block_other_connections(harness, code):
-    """Danger: a loop that meets an error and goes on without a wait stops the whole relay."""
+    """An accept loop that retries an error without a wait would block the whole relay."""
     client, calls, listener = harness.connect_client(), [0], harness.relay.clients.listener
     harness.advance(10 * MS)
 
@@ -147,11 +165,14 @@
     harness.advance(SECOND)
     assert (
         drain(client) == b"" and calls[0] - before < 300
-    ), "it neither stops the others nor takes the core"
+    ), "the loop neither blocks other connections nor takes all processor time"
 
 
 def test_shutdown_accepts_connections_after_aborted_one(harness):
-    """Danger: at the last look at the listener, an aborted connection has all those behind it reset."""
+    """An aborted connection must not end the last accept loop before the listener closes.
+
+    The connections behind it would be reset.
+    """
     listener, codes = harness.relay.clients.listener, [errno.ECONNABORTED, errno.EPROTO]
     harness.relay.scheduler.cancel_wait(listener.fileno())
 
@@ -172,7 +193,7 @@
 
 
 def wait_for_process(folder, disk, signals):
-    """A start on the kernel's clock and that disk, waited for; its process, or None if it was told to end."""
+    """Starts a process with this disk and waits for it; returns None if it was told to end."""
     machine = Kernel()
     machine.disk = disk
     config = replace(net_config(state=str(folder)), listen=("127.0.0.1", 0))
@@ -184,7 +205,7 @@
 
 @pytest.fixture
 def signals():
-    """The side on which a process hears of signals, and the other one."""
+    """A socket pair: the end on which a process receives signals, and the other end."""
     pair = socket.socketpair()
     pair[0].setblocking(False)
     yield pair
@@ -204,7 +225,7 @@
     ],
 )
 def test_start_waits_for_failing_disk(tmp_path, signals, calls, capfd):
-    """Danger: a restart into a second of failing disk is a relay that will not start."""
+    """A restart while the disk fails for a second must not be a relay that will not start."""
     store = Store(str(tmp_path), 100_000, Disk())
     store.append([({"k": "rest", "key": "a", "until": 1}, b"")])
     store.close()
@@ -237,8 +258,11 @@
 
 
 def test_no_result_is_lost_and_no_call_begins_while_log_fails(failing_harness):
-    """Danger: an end that the log did not take is forgotten, and after a kill its callback runs once more; a launch that it refuses is
-    asked for anew at once, each time with a connection of its own."""
+    """A log that refuses records must lead neither to a second run nor to a retry loop.
+
+    A result that is not logged is lost in a kill, and its callback runs once more. An attempt that
+    the log refuses would be requested again at once, each time with a new connection.
+    """
     client, disk = failing_harness.connect_client(), failing_harness.disk
     submit(failing_harness, client, b"id1")
     submit(failing_harness, client, b"id2")  # waits for its turn
@@ -263,7 +287,10 @@
 
 @pytest.mark.parametrize("works_again", [True, False])
 def test_notice_waits_for_log_or_deadline(failing_harness, works_again):
-    """Danger: told before, it is forgotten by a kill, and the next process tries what had its end."""
+    """A notice must not be sent before its result is logged, unless the deadline has passed.
+
+    A kill would lose the result, and the next process would attempt a callback that had ended.
+    """
     client, disk, told, platforms = failing_harness.connect_client(), failing_harness.disk, b"", []
     client.send(REQUEST.replace(b"Content", b"Req-Deadline-Ms: 3000\r\nContent") % b"id1")
     failing_harness.read_until(client, b"HTTP/1.1 202")
@@ -271,7 +298,7 @@
     host = failing_harness.accept(failing_harness.host)
     failing_harness.read_until(host, b"\r\n\r\nab")
     disk.left, disk.failing = 0, {"open": errno.ENOSPC}
-    host.send(b"HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n")  # had all its attempts
+    host.send(b"HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n")  # the last permitted attempt
     while b'"ref":"id1"' not in told and failing_harness.clock.now < due + SECOND:
         if works_again and failing_harness.clock.now > due - SECOND:
             disk.left, disk.failing = None, {}
@@ -282,9 +309,12 @@
 
 @pytest.mark.parametrize("works_again", [False, True])
 def test_unlogged_result_is_not_contradicted_after_restart(failing_harness, works_again):
-    """Danger: turned away by this process, failed by the next one, which finds it untried and late."""
+    """Two processes must not report different results of one callback.
+
+    This one rejects it; the next one finds it unattempted and overdue, and reports a failure.
+    """
     client, disk, told, platforms = failing_harness.connect_client(), failing_harness.disk, b"", []
-    failing_harness.relay.engine.post_event(ev.PauseCalls(True))  # untried
+    failing_harness.relay.engine.post_event(ev.PauseCalls(True))  # no attempt begins
     client.send(REQUEST.replace(b"Content", b"Req-Deadline-Ms: 900\r\nContent") % b"id1")
     failing_harness.read_until(client, b"HTTP/1.1 202")
     due = failing_harness.clock.now + 900 * MS
@@ -304,7 +334,7 @@
 
 
 def denial_effects(core, ident):
-    """The effects of an end that turns a callback away, of which the module knows."""
+    """Ends a callback by a rejection, which the decision module is told; returns the effects."""
     core.effects = []
     core.inbox.append(interface.CallbackWithdrawn(ident))
     core._end_callback(core.callbacks[ident], True, 0)
@@ -315,7 +345,7 @@
     "spoilt, untried", [(b'"k":"launch"', []), (b'"zone"', ["b"]), (b'"k":"health"', ["a", "b"])]
 )
 def test_unreadable_attempt_record_does_not_mean_untried(harness, spoilt, untried):
-    """Danger: with the record of its launch, one that must not run twice looks untried."""
+    """Without its attempt record, a callback that must not run twice would look unattempted."""
     core = harness.relay.core
     for ident in "ab":
         core.load(
@@ -362,14 +392,14 @@
         ([clock_line()], EpochSource.SAME_BOOT, 7),
         ([clock_line(), b'{"k":"end","ends":[],"at":%d}' % (7 + NOW)], EpochSource.SAME_BOOT, 7),
         ([clock_line(boot="other")], EpochSource.REBOOTED, WALL - NOW),
-        # the wall clock was set back meanwhile
+        # The wall clock was set back meanwhile.
         ([clock_line(boot="other", at=WALL + HOUR)], EpochSource.REBOOTED, WALL + HOUR - NOW),
-        # of a version without clock records
+        # A log of a version without clock records.
         ([b'{"k":"launch","ids":[],"at":%d}' % (WALL - SECOND)], EpochSource.UNKNOWN, WALL - NOW),
         ([clock_line(epoch=None)], EpochSource.UNKNOWN, WALL - NOW),
         ([clock_line(epoch=True)], EpochSource.UNKNOWN, WALL - NOW),
         ([clock_line(boot="")], EpochSource.UNKNOWN, WALL - NOW),
-        # ahead of a clock that can't run back
+        # The record is ahead of a clock that can't run back.
         ([clock_line(at=7 + NOW + HOUR)], EpochSource.UNKNOWN, WALL - NOW),
     ],
 )
@@ -378,7 +408,7 @@
 
 
 def test_all_times_in_log_records_are_shifted(harness):
-    """Danger: a time that is not moved with the others means another moment to the next process."""
+    """A time that is not shifted with the others would mean another moment to the next process."""
     clock = log_clock.LogClock(7, EpochSource.SAME_BOOT)
     client = harness.connect_client()
     submit(harness, client, b"id1")
@@ -410,7 +440,7 @@
     ],
 )
 def test_local_connect_error_does_not_count_against_host(harness, monkeypatch, code):
-    """Danger: hosts that are well are ejected, and callbacks lose their launches, for what this machine lacks."""
+    """A lack of resources on this machine must not eject healthy hosts or use up attempts."""
     tries, connect = [], Stream.connect
 
     def failing_connect(self, address, until):
@@ -437,7 +467,7 @@
         and [endpoint.state for endpoint in module.state.endpoints.values()] == ["open"]
         and [endpoint.failure_share for endpoint in module.state.endpoints.values()] == [0.0]
     )
-    assert 2 <= len(tries) <= 30, "tried again, and not as fast as it fails"
+    assert 2 <= len(tries) <= 30, "retried, and not as fast as the calls fail"
     harness.advance(500 * MS)
     harness.read_until(harness.accept(harness.host), b"Req-Id: id1")
 
@@ -465,7 +495,10 @@
 
 
 def test_start_survives_missing_upgrade_socket(tmp_path, signals):
-    """Danger: the folder takes no file, and the relay ends over what only an upgrade needs."""
+    """The relay must not end because the folder takes no file for the upgrade socket.
+
+    Only an upgrade needs it.
+    """
     machine, listen_for_successor, failing = Kernel(), Kernel.listen_for_successor, [True]
     machine.listen_for_successor = (
         lambda folder: fail(errno.ENOSPC) if failing else listen_for_successor(machine, folder)
@@ -487,7 +520,7 @@
     [("tcp_socket", errno.ENFILE), ("tcp_socket", errno.ENOBUFS), ("bind", errno.ENOMEM)],
 )
 def test_listener_is_retried_after_transient_error(tmp_path, signals, call, code):
-    """Danger: a restart in a moment in which the machine lacks something is a relay that will not start."""
+    """A restart while the machine lacks resources must not be a relay that will not start."""
     machine, failing, make = Kernel(), [True], Kernel.tcp_socket
 
     def tcp_socket(address):
@@ -518,7 +551,10 @@
 
 @pytest.mark.parametrize("call", ["getsockopt", "close", "socket"])
 def test_socket_errors_leak_no_descriptor_and_no_attempt(harness, monkeypatch, call):
-    """Danger: an error that nobody foresaw counts as a call that may have run, or its descriptor is counted for ever."""
+    """An unforeseen error must not count as a call that may have run.
+
+    Nor may the budget count its descriptor for ever.
+    """
     failing, make = [True], harness.relay.scheduler.machine.tcp_socket
 
     def tcp_socket(address):
@@ -554,10 +590,12 @@
 
 
 def fail(code):
+    """Raises OSError with this errno."""
     raise OSError(code, "made to fail")
 
 
 def run_until(process, done):
+    """Runs at least one round, then more until `done()`, within 5 s of real time."""
     until = time.monotonic() + 5
     process.scheduler.run_once(block=False)
     while not done():
@@ -566,7 +604,7 @@
 
 
 def test_rejected_requests_leave_no_unwritten_rows(failing_harness):
-    """Danger: an outage of the disk for an hour is an hour of rows kept for later."""
+    """Rows must not pile up during an outage of the disk, which may last an hour."""
     client, disk = failing_harness.connect_client(), failing_harness.disk
     submit(failing_harness, client, b"id0")
     disk.left, disk.failing = 0, {"open": errno.ENOSPC}
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -1,4 +1,7 @@
-"""Two sides that meet at a chosen instant, on loopback sockets: each is brought there by construction, none by waiting."""
+"""Races of two parties on loopback sockets.
+
+Each race is brought about by construction at a chosen moment, none by waiting for it.
+"""
 
 import json
 import socket
@@ -22,7 +25,10 @@
 
 
 def read_to_end(sock):
-    """What a peer reads up to the end of its connection, and how that ends: in order, or by a reset that may eat what came before."""
+    """Reads up to the end of a connection; returns the data and how it ended, "end" or "reset".
+
+    A reset may discard data that arrived before it.
+    """
     sock.setblocking(True)
     sock.settimeout(5)
     data = b""
@@ -35,12 +41,16 @@
 
 
 def reset(sock):
+    """Closes a socket by a reset."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
 def act_once(monkeypatch, cls, name, act, when=lambda stream: True):
-    """Has `act(stream)` happen right after the next call of that method for which `when` holds, before anything else does."""
+    """Runs `act(stream)` right after the next call of a method for which `when(stream)` holds.
+
+    Nothing else happens in between. Returns a list that is not empty once `act` has run.
+    """
     method, done = getattr(cls, name), []
 
     def crossed(self, *given):
@@ -55,7 +65,10 @@
 
 
 def accept_and_read(harness, listener, wanted):
-    """The connection on which that comes, and what came; those of processes that have ended are passed over."""
+    """Returns the connection on which `wanted` comes, and the data read.
+
+    Connections of processes that have ended are skipped.
+    """
     for _ in range(20):
         sock = harness.accept(listener)
         text = b""
@@ -76,7 +89,11 @@
 @pytest.mark.parametrize("more", [REQUEST % b"id2", b"\r\n", b"half a li", b"x" * 100_000])
 @pytest.mark.parametrize("read", [True, False])
 def test_unread_bytes_do_not_reset_a_closing_202(harness, more, read):
-    """Danger: the close is a reset, which takes the 202 with it; or what came behind is read, answered by nobody, and sent on."""
+    """Bytes behind a request that closes its connection must not cost the client its answer.
+
+    A close over unread bytes is a reset, which discards the 202. If the bytes were read as a
+    request, it would be relayed and never answered.
+    """
     client = harness.connect_client()
     ask = (
         (REQUEST % b"id1")
@@ -84,7 +101,7 @@
         .replace(b"Req-Id", b"Connection: close\r\nReq-Id")
     )
     client.send(ask + more if read else ask)
-    harness.relay.engine.suspend()  # it is read; its answer comes when the rest lies there
+    harness.relay.engine.suspend()  # the request is read; its answer waits until the rest arrived
     harness.run_rounds()
     if not read:
         client.send(more)
@@ -104,7 +121,7 @@
     harness.read_until(client, b"HTTP/1.1 202")
     assert (
         drain(client) is None and harness.relay.clients.connections
-    ), "its side of the connection has ended, and the other not yet"
+    ), "the relay's side of the connection is closed, and the client's not yet"
     client.send(REQUEST % b"id2")
     harness.advance(250 * MS)
     assert (
@@ -116,7 +133,10 @@
 
 @pytest.mark.parametrize("how", ["room", "end"])
 def test_request_racing_idle_close_is_not_accepted(harness, monkeypatch, how):
-    """It was not read, so its client sends it once more; read and not answered, it would be lost."""
+    """A request that crosses the close of an idle connection is not read.
+
+    Its client sends it once more; read and not answered, it would be lost.
+    """
     client = harness.connect_client()
     client.send(b"GET /health/live HTTP/1.1\r\n\r\n")
     harness.read_until(client, b"200 OK")
@@ -154,11 +174,11 @@
     harness.read_until(client, b"200 OK")
     harness.relay.shutdown.begin()
     harness.advance(3295 * MS)
-    harness.relay.clients.close_idle_connections = lambda: None  # it comes too late for that look
+    harness.relay.clients.close_idle_connections = lambda: None  # it comes too late for that check
     harness.advance(10 * MS)
     harness.clock.now = harness.relay.shutdown.requested_at + 3499 * MS
     client.send((REQUEST % b"id1")[: None if lies == "whole" else -1])
-    # both in one turn: the bytes, and the time of the cut
+    # In one round: the bytes, and the time at which incomplete requests are dropped.
     harness.clock.now += 2 * MS
     harness.advance(100 * MS)
     text, how = read_to_end(client)
@@ -187,7 +207,10 @@
 
 @pytest.mark.parametrize("span,left", [(b"900", "owed"), (b"9000", None)])
 def test_partial_202_does_not_count_as_accepted(harness, span, left):
-    """Danger: half a 202 at the end of the callback's time, taken for heard, leaves it to nobody."""
+    """A partial 202 at the callback's deadline must not count as received by the client.
+
+    The relay would think it accepted, the client would not, and nobody would deliver it.
+    """
     client = harness.connect_client()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1)
     harness.run_rounds()
@@ -197,7 +220,7 @@
     harness.relay.engine.suspend()
     harness.run_rounds()
     try:
-        # what stands before it in both buffers is never read
+        # Fills both buffers with bytes before the answer, which are never read.
         while True:
             conn.stream.sock.send(b"x" * 4096)
     except BlockingIOError:
@@ -209,7 +232,7 @@
     assert not harness.relay.hosts.calls_in_flight and not harness.relay.clients.connections
     assert [c.state for c in harness.relay.core.callbacks.values()] == [left] * bool(
         left
-    ), "ended at its time, or the client's again"
+    ), "ended at its deadline, or returned to the client"
 
 
 # Hosts
@@ -225,8 +248,12 @@
 @pytest.mark.parametrize("close,proven", [(reset, True), (socket.socket.close, False)])
 @pytest.mark.parametrize("ask", [REQUEST, PLAIN])
 def test_call_racing_close_of_idle_host_connection(harness, monkeypatch, ask, close, proven):
-    """Refused by the system before the last byte went, the call never ran and goes at once on a new connection. Taken by it, nothing
-    proves that the host did not run it: what may be repeated is, what must not ends by a notice."""
+    """A host closes an idle connection while a call is sent on it.
+
+    If the system refuses the call before its last byte is sent, the call never ran and is sent at
+    once on a new connection. If the system accepts it, nothing proves that the host did not run it:
+    a callback that may be repeated is, any other ends by a notice.
+    """
     submit_callback(harness, ask, b"id0")
     host = harness.accept(harness.host)
     harness.read_until(host, b"\r\n\r\nab")
@@ -261,7 +288,7 @@
 
 @pytest.mark.parametrize("meanwhile", ["time up", "draining", "removed", "told to wait"])
 def test_late_connection_carries_no_forbidden_call(harness, monkeypatch, meanwhile):
-    """Danger: rules 1, 3 and 6 at the first byte, however long the connection took."""
+    """Rules 1, 3 and 6 must hold at the first byte of a call, however long the connect took."""
     from molehill import interface as it
 
     core = harness.relay.core
@@ -290,7 +317,10 @@
 
 
 def test_kill_during_connect_leaves_callback_untried(harness, monkeypatch):
-    """Danger: the log has it as out, and one that must not run twice is given up though no host has seen a byte of it."""
+    """A kill before the first byte must not give up a callback that must not run twice.
+
+    The log has its attempt, though no host has received a byte of it.
+    """
     hung = []
     act_once(
         monkeypatch,
@@ -306,7 +336,7 @@
     harness.run_rounds, turn = lambda rounds=0: None, harness.run_rounds
     kill_and_restart(harness)
     harness.run_rounds = turn
-    # and once more, before a turn of the one that took it up
+    # Killed once more, before the process that resumed it has run a round.
     kill_and_restart(harness)
     _, text = accept_and_read(harness, harness.host, b"\r\n\r\nab")
     assert (
@@ -347,14 +377,18 @@
     "begun", [b"", b'HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"index": 5,']
 )
 def test_moved_discovery_is_asked_at_once(harness, begun):
-    """Danger: waited out, or what still comes of the old one taken for the new one's list."""
+    """A new address of discovery is asked at once, and the old one's answer is discarded.
+
+    Otherwise the request in flight is waited out, or what still comes from the old address is taken
+    for the new one's list.
+    """
     old = harness.accept(harness.platform)
     read_request_line(harness, old)
     old.send(begun)
     harness.advance(8 * SECOND, step=50 * MS)
     moved = harness.open_listener()
     harness.relay.config.discovery = moved.getsockname()
-    old.send(b"x" * (99 - 12)) if begun else None  # lies there in the very turn of the move
+    old.send(b"x" * (99 - 12)) if begun else None  # unread in the very round of the change
     harness.relay.discovery.change_address()
     new = harness.accept(moved)
     assert (
@@ -370,7 +404,7 @@
     harness.advance(200 * MS)
     assert (
         read_request_line(harness, harness.accept(moved)) == b"GET /registry/instances"
-    ), "silent too, it is asked anew within 6 s"
+    ), "the new one is silent too and is asked again within 6 s"
 
 
 def test_silent_watch_does_not_delay_shutdown(harness):
@@ -407,7 +441,7 @@
 
 
 def remove_list_records(harness):
-    """Has the log say nothing of hosts, as one of the version before it had them in it."""
+    """Removes the host list from the log, as in logs of the versions that did not write it."""
     rows, store = [], Store(str(harness.folder), harness.relay.store.max_bytes, Disk())
     store.read()
     store.replay(lambda record, body: rows.append((record, body)))
@@ -417,7 +451,10 @@
 
 @pytest.mark.parametrize("ask", [REQUEST, PLAIN])
 def test_untried_callback_waits_for_host_list_after_restart(harness, ask):
-    """Danger: discovery is down at the restart, and what was taken on is turned away for a destination not heard of yet."""
+    """If discovery is down at a restart, accepted callbacks must not be rejected.
+
+    Their destination is not known until the host list comes.
+    """
     harness.relay.hosts.start_call = lambda call: harness.relay.engine.post_event(
         ev.CallEnded(
             call.number,
@@ -442,7 +479,10 @@
 
 @pytest.mark.parametrize("answers", [True, False])
 def test_first_call_after_kill_waits_for_discovery(harness, answers):
-    """Danger: what it wrote to the process before, which was killed with it unread, counts as told."""
+    """The first call after a kill waits for discovery's answer, within a limit.
+
+    What discovery sent to the old process counts as told, even if a kill came before it was read.
+    """
     submit_callback(harness, REQUEST)
     harness.advance(500 * MS)
     kill_and_restart(harness)
