--- a/molehill/upgrade.py
+++ b/molehill/upgrade.py
@@ -1,4 +1,6 @@
-"""Upgrade under load: the serving process hands over to the next one, through a Unix socket.
+"""Upgrade under load: the serving process hands over to the next one.
+
+The two meet at a Unix socket in the state folder.
 
 There is one owner at any moment: the process that has the folder's lock writes the log and decides.
 The lock is a file descriptor and is passed last, so there is no moment between two owners.
