--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -291,7 +291,12 @@
 
     A kill would lose the result, and the next process would attempt a callback that had ended.
     """
-    client, disk, told, platforms = failing_harness.connect_client(), failing_harness.disk, b"", []
+    client, disk, platform_data, platforms = (
+        failing_harness.connect_client(),
+        failing_harness.disk,
+        b"",
+        [],
+    )
     client.send(REQUEST.replace(b"Content", b"Req-Deadline-Ms: 3000\r\nContent") % b"id1")
     failing_harness.read_until(client, b"HTTP/1.1 202")
     due = failing_harness.clock.now + 3 * SECOND
@@ -299,11 +304,11 @@
     failing_harness.read_until(host, b"\r\n\r\nab")
     disk.left, disk.failing = 0, {"open": errno.ENOSPC}
     host.send(b"HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n")  # the last permitted attempt
-    while b'"ref":"id1"' not in told and failing_harness.clock.now < due + SECOND:
+    while b'"ref":"id1"' not in platform_data and failing_harness.clock.now < due + SECOND:
         if works_again and failing_harness.clock.now > due - SECOND:
             disk.left, disk.failing = None, {}
         failing_harness.advance(10 * MS)
-        told += failing_harness.read_at_platform(platforms)
+        platform_data += failing_harness.read_at_platform(platforms)
     assert abs(failing_harness.clock.now - (due - SECOND if works_again else due)) <= 250 * MS
 
 
@@ -313,7 +318,12 @@
 
     This one rejects it; the next one finds it unattempted and overdue, and reports a failure.
     """
-    client, disk, told, platforms = failing_harness.connect_client(), failing_harness.disk, b"", []
+    client, disk, platform_data, platforms = (
+        failing_harness.connect_client(),
+        failing_harness.disk,
+        b"",
+        [],
+    )
     failing_harness.relay.engine.post_event(ev.PauseCalls(True))  # no attempt begins
     client.send(REQUEST.replace(b"Content", b"Req-Deadline-Ms: 900\r\nContent") % b"id1")
     failing_harness.read_until(client, b"HTTP/1.1 202")
@@ -322,15 +332,15 @@
     failing_harness.relay.engine.execute_effects(denial_effects(failing_harness.relay.core, "id1"))
     while failing_harness.clock.now < due + 200 * MS:
         failing_harness.advance(10 * MS)
-        told += failing_harness.read_at_platform(platforms)
+        platform_data += failing_harness.read_at_platform(platforms)
     disk.left, disk.failing = None, {}
     if works_again:
         failing_harness.advance(200 * MS)
     kill_and_restart(failing_harness)
     for _ in range(200):
         failing_harness.advance(10 * MS)
-        told += failing_harness.read_at_platform(platforms)
-    assert told.count(b'"ref":"id1"') >= 2 and b"bounced" not in told
+        platform_data += failing_harness.read_at_platform(platforms)
+    assert platform_data.count(b'"ref":"id1"') >= 2 and b"bounced" not in platform_data
 
 
 def denial_effects(core, ident):
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -489,8 +489,8 @@
     began, watches, called = harness.clock.now, [], None
     while called is None and harness.clock.now < began + SECOND:
         harness.advance(10 * MS)
-        asked = harness.read_at_platform(watches)
-        if answers and b"hold_ms=1 " in asked:
+        request = harness.read_at_platform(watches)
+        if answers and b"hold_ms=1 " in request:
             leaving = dict(harness.config().known["endpoints"][0], status="leaving")
             text = json.dumps({"index": 2, "endpoints": [leaving]}).encode()
             watches[-1].send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(text) + text)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -86,13 +86,13 @@
 
 
 def test_sighup_rejects_bad_file_and_moves_discovery(harness, tmp_path, monkeypatch):
-    relay, file, said = harness.relay, tmp_path / "config.json", []
+    relay, file, logged = harness.relay, tmp_path / "config.json", []
     relay.log = type(
         "Log",
         (),
         {
-            "error": lambda _, text, **facts: said.append(facts["error"]),
-            "info": lambda _, text, **facts: said.append(facts),
+            "error": lambda _, text, **facts: logged.append(facts["error"]),
+            "info": lambda _, text, **facts: logged.append(facts),
         },
     )()
     monkeypatch.setenv("ROUTER_CONFIG", str(file))
@@ -118,7 +118,7 @@
         file.write_text(text)
         other.send(bytes([signal.SIGHUP]))
         harness.run_rounds()
-    assert [text.split(":")[0] for text in said] == [
+    assert [text.split(":")[0] for text in logged] == [
         "ROUTER_CONFIG",
         "discovery",
         "settings.allowed",
@@ -144,7 +144,7 @@
         b"GET /registry/instances",
         b"POST /v2/finals",
     ]
-    assert said[-1]["at_next_start"] == ["listen", "state", "disk"] and not relay.core.callbacks
+    assert logged[-1]["at_next_start"] == ["listen", "state", "disk"] and not relay.core.callbacks
     other.send(bytes([signal.SIGTERM, signal.SIGHUP, signal.SIGTERM]))
     harness.advance(3600 * MS, step=50 * MS)
     assert relay.scheduler.stopped and client.send(b"x")
@@ -210,8 +210,8 @@
         log.write(HEADER.pack(len(payload), crc32(payload)) + payload + b"torn")
     capfd.readouterr()
     harness.start_process()
-    said = capfd.readouterr().err
-    assert "level='warning' event='log read' cut=4 held=1 odd=1" in said and list(
+    log_text = capfd.readouterr().err
+    assert "level='warning' event='log read' cut=4 held=1 odd=1" in log_text and list(
         harness.relay.core.callbacks
     ) == ["id1"]
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -26,10 +26,10 @@
         harness.advance(5 * MS)
         heard += harness.read_at_platform(platforms)
     harness.close()
-    told = CliRunner().invoke(command, ["show", str(path), "id1"]).output
-    steps = [line.split(" ms  ")[1].split("  ")[0] for line in told.splitlines()]
+    output = CliRunner().invoke(command, ["show", str(path), "id1"]).output
+    steps = [line.split(" ms  ")[1].split("  ")[0] for line in output.splitlines()]
     closed = steps.pop(steps.index(Step.CONNECTION_CLOSED.value))
-    assert closed and "ended by its client" in told
+    assert closed and "ended by its client" in output
     wanted = [Step.HANDED_IN, Step.ANSWERED, Step.ANSWER_WRITTEN, Step.CALL_WRITTEN]
     wanted += [Step.CALL_ENDED, Step.ENDED, Step.NOTICE_WRITTEN]
     assert steps == [step.value for step in wanted]
@@ -44,10 +44,12 @@
 
     written = (Step.CALL_WRITTEN, {"call": 1})
     given_up = (Step.CALL_ENDED, {"call": 1, "result": "timeout"})
-    read, told = (Step.HOST_ENDED_CONNECTION, {"call": 1}), (Step.NOTICE_WRITTEN, {})
+    read, notified = (Step.HOST_ENDED_CONNECTION, {"call": 1}), (Step.NOTICE_WRITTEN, {})
     refused = (Step.ANSWERED, {"status": 503})
-    assert not calls_behind_an_end(rows(written, given_up, read, told))
-    assert "not known to be read" in calls_behind_an_end(rows(written, given_up, told, read))["a"]
+    assert not calls_behind_an_end(rows(written, given_up, read, notified))
+    assert (
+        "not known to be read" in calls_behind_an_end(rows(written, given_up, notified, read))["a"]
+    )
     assert "written" in calls_behind_an_end(rows(refused, written))["a"]
 
 
