--- a/molehill/membership/__init__.py
+++ b/molehill/membership/__init__.py
@@ -1,5 +1,7 @@
-"""Who is there among the relays of one fleet: handed messages, time and one Random; hands back messages, and a view.
+"""Tells which relays of a fleet are alive.
 
-`member.py` is the pure module (all decisions), `codec.py` its bytes, `service.py` its place on the project's scheduler. Off unless `fleet`
-stands in the configuration, and then only imported.
+`member.py` is the pure state machine that makes all decisions: given messages, the time and one
+random source, it returns messages and a view of the fleet. `codec.py` encodes its messages,
+`service.py` runs it on the scheduler. The package is imported only if the configuration has a
+`fleet` section; otherwise membership is off.
 """
--- a/molehill/membership/codec.py
+++ b/molehill/membership/codec.py
@@ -1,7 +1,11 @@
-"""A message as bytes: MessagePack of a fixed row, behind a version, the number of a key, and a keyed BLAKE2b over the fleet's name and the rest.
+"""Encodes and decodes messages between members.
 
-1,200 bytes at most. What does not verify costs one hash; what verifies and can't be read raises InvalidMessage as well. No length that a peer states
-is believed before that many bytes are there.
+A message is a MessagePack array with fixed fields, preceded by a version, the id of the signing key
+and a keyed BLAKE2b hash over the fleet's name and the body. It is 1,200 bytes long at most.
+
+Rejecting a message with an invalid signature costs one hash. A signed message that cannot be
+decoded raises InvalidMessage as well. A length that a peer states is not trusted before that many
+bytes have arrived.
 """
 
 import hashlib
@@ -26,15 +30,15 @@
 )
 
 VERSION = 1
-# bytes of a datagram: under the least path that is met in practice
+# Size of a datagram, below the smallest path MTU that is met in practice.
 MAX_MESSAGE_BYTES = 1200
-MAC_BYTES = 16  # bytes; forged ones would need 2^127 tries
+MAC_BYTES = 16  # a forgery would need 2^127 tries
 HEADER_BYTES = 2 + MAC_BYTES
 MAX_NAME_LENGTH = 64
 KINDS = ("ping", "again", "ack", "nack", "ask", "pass", "word")
 STATES = (JOINING, ALIVE, SUSPECT, LOST, LEFT)
 STANDINGS = (ALONE, NO_MAJORITY, CONNECTED, SUPERSEDED)
-# the one that signs, and during a change the one before or after it
+# The signing key and, during a key rotation, the previous or the next one.
 MAX_KEYS = 2
 
 IdentityRow = tuple[str, int, int, int]  # an Identity
@@ -42,6 +46,8 @@
 
 
 class Packet(msgspec.Struct, array_like=True):
+    """Represents the body of a message as it is encoded."""
+
     kind: int
     sender: IdentityRow
     host: str
@@ -54,7 +60,7 @@
 
 
 class InvalidMessage(ValueError):
-    """Bytes that are no message of this fleet; the text says why."""
+    """Reports that bytes are not a valid message of this fleet; the text says why."""
 
 
 encode_packet, decode_packet = (
@@ -64,22 +70,29 @@
 
 
 class MessageCodec:
-    """`keys`: one or two of 16 to 64 bytes; the first signs, each is believed."""
+    """Encodes, signs, verifies and decodes messages of one fleet.
+
+    `keys` are one or two keys of 16 to 64 bytes; the first one signs, each is accepted.
+    """
 
     def __init__(self, fleet: str, keys):
         self.keys, self.fleet = list(keys)[:MAX_KEYS], fleet.encode()
 
     def compute_mac(self, key_index: int, body: bytes) -> bytes:
+        """Return the keyed hash of the fleet's name and `body`."""
         return hashlib.blake2b(
             self.fleet + b"\0" + body, key=self.keys[key_index], digest_size=MAC_BYTES
         ).digest()
 
     def key_id(self, key_index: int) -> int:
-        """Told by a byte, so that one hash is enough to refuse."""
+        """Return the one-byte id of a key, so that one hash is enough to reject a message."""
         return hashlib.blake2b(b"id", key=self.keys[key_index], digest_size=1).digest()[0]
 
     def encode(self, message: Message) -> bytes:
-        """Leaves out rumours that do not fit; they have been counted as told, and are told again by others."""
+        """Return the signed message as bytes, without the rumours that do not fit.
+
+        Rumours left out have been counted as sent; other members spread them too.
+        """
         rumours, sender = list(message.rumours), message.sender
         while True:
             body = encode_packet(
@@ -109,7 +122,7 @@
             rumours.pop()
 
     def decode(self, data: bytes) -> Message:
-        """Raises InvalidMessage."""
+        """Return the message in `data`; raise InvalidMessage if it is not a valid one."""
         if not HEADER_BYTES < len(data) <= MAX_MESSAGE_BYTES or data[0] != VERSION:
             raise InvalidMessage("size or version")
         for key_index in range(len(self.keys)):
@@ -146,24 +159,28 @@
 
 
 def checked_number(number: int) -> int:
+    """Return `number`; raise InvalidMessage unless it fits into 63 bits."""
     if not 0 <= number < 1 << 63:
-        raise InvalidMessage("a number out of range")
+        raise InvalidMessage("number is out of range")
     return number
 
 
 def checked_name(text: str, allow_empty: bool = False) -> str:
+    """Return `text`; raise InvalidMessage if it is too long or, by default, empty."""
     if len(text) > MAX_NAME_LENGTH or not text and not allow_empty:
-        raise InvalidMessage("a name out of range")
+        raise InvalidMessage("name is empty or too long")
     return text
 
 
 def identity_from_row(row) -> Identity:
+    """Return the Identity in a decoded row; raise InvalidMessage if it is out of range."""
     return Identity(
         checked_name(row[0]), checked_number(row[1]), checked_number(row[2]), checked_number(row[3])
     )
 
 
 def checked_address(host: str, port: int):
+    """Return (host, port); raise InvalidMessage unless both are well formed."""
     if not 0 < port < 65536 or not checked_name(host).replace(".", "").replace(":", "").isalnum():
-        raise InvalidMessage("an address out of range")
+        raise InvalidMessage("address is invalid")
     return host, port
--- a/molehill/membership/member.py
+++ b/molehill/membership/member.py
@@ -1,9 +1,19 @@
-"""Failure detection among relays as one state machine: no input, no output, no clock. Standard library only.
+"""Implements a SWIM failure detector for the relays of one fleet, as a pure state machine.
 
-SWIM with Lifeguard's refinements (round-robin targets in random order, indirect probes, suspicion before a loss, refutation by a rising
-incarnation, rumours with bounded repeats, slower probes while this relay finds itself slow), and what one-sided cuts and pauses need:
-a probe by a helper is answered to the helper *and* to whoever asked; a relay that hears no answer says `alone` by time alone, and neither it
-nor one that has just stood still accuses anybody. docs/design/membership.md has the reasons.
+The module does no I/O and reads no clock: its caller passes in received messages, the current
+time and a source of random numbers, and takes messages to send and events to log out of `Member`.
+It uses the standard library only.
+
+The protocol is SWIM with Lifeguard's refinements: round-robin probe targets in random order,
+indirect probes, suspicion before a member is declared lost, refutation by a higher incarnation,
+gossip with a bounded number of retransmissions, and a longer probe interval while this relay finds
+that it is slow itself. Three additions handle one-way partitions and pauses:
+
+- The target of an indirect probe acknowledges it to the helper *and* to the original requester.
+- A relay that receives no answers reports itself as `alone`, on elapsed time only.
+- A relay that is alone, or that has just resumed after a stall, suspects nobody.
+
+docs/design/membership.md gives the reasons.
 """
 
 from dataclasses import dataclass, field
@@ -12,33 +22,45 @@
 
 MS = 1_000_000
 JOINING, ALIVE, SUSPECT, LOST, LEFT = "joining", "alive", "suspect", "lost", "left"
-# of two words on one incarnation the higher one stands
+# Of two rumours about the same incarnation, the one with the higher precedence wins.
 STATE_PRECEDENCE = {JOINING: 0, ALIVE: 1, SUSPECT: 2, LOST: 3, LEFT: 4}
 ALONE, NO_MAJORITY, CONNECTED, SUPERSEDED = "alone", "thinned", "connected", "superseded"
-# asked to probe where no answer came: SWIM's figure; more pay little
+# Members asked to probe a target that did not answer. 3 is SWIM's figure; more add little.
 INDIRECT_PROBES = 3
-ACK_FORWARDERS = 2  # by whom an answer goes that its asker may not hear straight
-# steps by which own probes slow down, one for each sign that this relay is the one that is late
+# Members that forward an ack which the prober may not receive directly.
+ACK_FORWARDERS = 2
+# Limit of Lifeguard's local health multiplier, which slows this relay's probes by one step for
+# each sign that the relay itself is late.
 MAX_LOCAL_HEALTH_MULTIPLIER = 3
-# rumours in a message: with the head they fit 1,200 bytes (codec.py)
+# Together with the header, so many rumours fit into the 1,200 bytes of a message (codec.py).
 RUMOURS_PER_MESSAGE = 8
-# a rumour is told so many times the logarithm of the fleet's size
+# A rumour is sent this many times the logarithm (base 2) of the fleet's size.
 RETRANSMIT_MULTIPLIER = 3
-# suspicions from so many others shorten the wait to its least
+# This many confirmations by other members shorten the suspicion timeout to its minimum.
 MAX_CONFIRMATIONS = 3
-# a suspect's time: so many rounds by log10 of the size; up to so many times that, alone in the suspicion
+# The minimum suspicion timeout is SUSPICION_MULTIPLIER * max(1, log10(fleet size)) protocol
+# periods; without confirmations the timeout is MAX_SUSPICION_MULTIPLIER times that.
 SUSPICION_MULTIPLIER, MAX_SUSPICION_MULTIPLIER = 5, 3
-# smoothed round trips that a direct probe waits before helpers are asked
+# A direct probe waits for this many smoothed round trips before helpers are asked.
 ACK_TIMEOUT_ROUND_TRIPS = 4
-# rounds between words to one that is lost, or to a seed: a fleet that was cut in two finds itself
+# Protocol periods between pings to a lost member or an unknown seed, so that a fleet that was
+# partitioned merges again.
 RECONNECT_PERIODS = 5
-MAX_TOMBSTONES = 1024  # names forgotten, of which old rumours are not believed
+# Forgotten names that are kept, so that old rumours about them are rejected.
+MAX_TOMBSTONES = 1024
 
 
 @dataclass(frozen=True)
 class Settings:
-    """Spans in nanoseconds. `protocol_period`: one probe each; `min_ack_timeout`: least wait for an answer; `alone_after`: without an answer so long, alone;
-    `stall_threshold`: not looked at for so long, this relay stood still; `forget_after`: one lost or left is forgotten; `sync_interval`: all is told to one."""
+    """Holds the timing of the protocol, as spans in nanoseconds.
+
+    `protocol_period`: one probe is sent in each.
+    `min_ack_timeout`: the shortest wait for an ack.
+    `alone_after`: without an answer for this long, the relay is alone.
+    `stall_threshold`: without being run for this long, the relay has stalled.
+    `forget_after`: a member that was lost or has left for this long is forgotten.
+    `sync_interval`: the full state is exchanged with one member in each.
+    """
 
     protocol_period: int = 500 * MS
     min_ack_timeout: int = 100 * MS
@@ -49,7 +71,11 @@
 
 
 class Identity(NamedTuple):
-    """One process of a member. `generation` rises with each start, `token` is drawn at it, `incarnation` rises with each refutation."""
+    """Identifies one process of a member, and its incarnation.
+
+    `generation` increases with each start, `token` is drawn at random at the start, and
+    `incarnation` increases with each refutation.
+    """
 
     name: str
     generation: int
@@ -57,22 +83,34 @@
     incarnation: int
 
     def process_key(self):
+        """Return the key that orders the processes of one name and tells them apart."""
         return self.generation, self.token
 
     def order_key(self):
+        """Return the key that orders the processes of one name, and their incarnations."""
         return self.generation, self.token, self.incarnation
 
 
 class Rumour(NamedTuple):
+    """Reports the state of a member, as gossip between members."""
+
     identity: Identity
     state: str
-    address: tuple  # as it gives it itself
-    reporter: str  # whose word it is
+    address: tuple  # as the member advertises it
+    reporter: str  # name of the member that reported the state
 
 
 class Message(NamedTuple):
-    """`kind`: ping, again (a ping that had no answer), ack, nack, ask, pass, word. `target`: who is to be probed, answered or reached; `sequence` of
-    the sender, or of the one answered; `on_behalf_of`: of a ping by a helper the (name, seq) of the one who asked for it, of a pass (who answers, seq)."""
+    """Represents one message between two members.
+
+    `kind`: `ping`; `again`, a ping repeated because it had no answer; `ack`; `nack`; `ask`, a
+    request for an indirect probe; `pass`, an ack to be forwarded; `word`, which carries rumours
+    only.
+    `target`: name of the member that is to be probed, acknowledged or reached.
+    `sequence`: the sender's own sequence number or, in an answer, that of the message answered.
+    `on_behalf_of`: in a ping by a helper, the (name, sequence) of the member that requested it; in
+    a pass, the (name, sequence) of the member that acknowledges.
+    """
 
     kind: str
     sender: Identity
@@ -86,33 +124,43 @@
 
 @dataclass
 class Peer:
+    """Holds what this relay believes of another member. Times are in nanoseconds."""
+
     identity: Identity
     address: tuple  # where this relay reaches it
-    advertised_address: tuple  # as it gives it itself
+    advertised_address: tuple  # as it advertises it itself
     state: str
     state_since: int
     reporter: str
-    last_heard_at: int = 0  # a message of its own came last; 0: never
-    last_ack_at: int = 0  # it answered a probe of this relay last
+    last_heard_at: int = 0  # when its last message arrived; 0: never
+    last_ack_at: int = 0  # when it last answered a probe of this relay; 0: never
     suspected_by: set = field(default_factory=set)
-    suspicion_deadline: int = 0  # of a suspect: taken for lost then
+    suspicion_deadline: int = 0  # when a suspect is declared lost
 
 
 @dataclass
 class Probe:
+    """Represents a probe of this relay that has not been answered. Times are in nanoseconds."""
+
     target: str
     started_at: int
-    indirect_at: int  # helpers are asked
+    indirect_at: int  # when helpers are asked
     expires_at: int
     nacks: int = 0
-    requests_sent: int = 0  # helpers that were asked; 0: not yet
+    requests_sent: int = 0  # 1 + the number of helpers asked; 0: not asked yet
 
 
 class Member:
-    """`seeds`: name -> address of those that this relay is told of, itself aside; such an address stands over what rumours say.
+    """Keeps this relay's view of the fleet and takes its part in the protocol.
+
+    `seeds` maps names to addresses of the members that this relay is configured with, itself
+    excluded; such an address takes precedence over an address in a rumour. `address` is the one
+    that this relay advertises, `now` the current time in nanoseconds.
 
-    `outbox`: (address, Message) to send; `pending_syncs`: names to tell all to; `events`: facts for the log, in order. Whoever drives this empties them
-    after each call, and calls `advance_clock` first whenever it gets to run.
+    The results collect in three lists: `outbox`, (address, Message) pairs to send; `pending_syncs`,
+    names of members to exchange the full state with; `events`, (event, facts) pairs for the log, in
+    order. The caller empties them after each call, and calls `advance_clock` first whenever it
+    gets to run.
     """
 
     def __init__(
@@ -138,7 +186,7 @@
         self.probes: dict[int, Any] = {}
         self.probes_for_others: dict[int, Any] = {}
         self.sequence = 0
-        self.rumour_queue: dict[str, list] = {}  # name -> [rumour, times told]
+        self.rumour_queue: dict[str, list] = {}  # name -> [rumour, times sent]
         self.local_health_multiplier, self.smoothed_round_trip, self.round_trip_deviation = (
             0,
             settings.min_ack_timeout / ACK_TIMEOUT_ROUND_TRIPS,
@@ -150,7 +198,7 @@
             now,
             0,
         )
-        self.last_ack_at: Optional[int] = None  # when any probe was answered last
+        self.last_ack_at: Optional[int] = None  # when any probe was last answered
         self.leaving, self.superseded = False, False
         self.rival_pinged_at: dict[Any, Any] = {}
         self.outbox: list[Any] = []
@@ -161,55 +209,72 @@
         self.standing_since = now
 
     def restore(self, own_identity, rumours, last_ack_at: int) -> None:
-        """As the process before it in an upgrade was; `last_ack_at`: when that was answered last."""
+        """Take over the state of the previous process in an upgrade.
+
+        `last_ack_at` is the time at which a probe of that process was last answered.
+        """
         self.own_identity, self.last_ack_at = Identity(*own_identity), last_ack_at
         for rumour in rumours:
             self.apply_rumour(rumour, self.last_run_at)
         self.rumour_queue.clear()
         self.update_standing(self.last_run_at)
 
-    # What is believed
+    # The view of the fleet
 
     def expected_count(self) -> int:
-        """Of how many a majority is asked: all that have not left, lost ones until they are forgotten."""
+        """Return the fleet size that a majority is measured against, this relay included.
+
+        Every member that has not left counts; a lost one counts until it is forgotten.
+        """
         return 1 + sum(p.state not in (LEFT, JOINING) for p in self.peers.values())
 
     def reached_count(self) -> int:
+        """Return the number of members believed alive, this relay included."""
         return 1 + sum(p.state == ALIVE for p in self.peers.values())
 
     def heard_count(self, now: int) -> int:
+        """Return the number of peers heard from within one probe cycle."""
         return sum(
             p.last_heard_at > 0 and now - p.last_heard_at <= self.probe_cycle_span()
             for p in self.peers.values()
         )
 
     def heard_by_count(self, now: int) -> int:
+        """Return the number of peers that acknowledged a probe within one probe cycle."""
         return sum(
             p.last_ack_at > 0 and now - p.last_ack_at <= self.probe_cycle_span()
             for p in self.peers.values()
         )
 
     def probe_cycle_span(self) -> int:
-        """Within it each peer has been probed once, and has answered."""
+        """Return the span, in nanoseconds, in which each peer is probed once and can answer."""
         return len(self.peers) * self.probe_interval() + self.settings.alone_after
 
     def current_standing(self, now: int) -> str:
-        """Danger: one that hears nothing takes itself for the fleet. So the first thing is time: how long ago did anybody answer?"""
+        """Return this relay's standing: superseded, alone, thinned (no majority) or connected.
+
+        A relay that receives nothing could take itself for the whole fleet, so the time since the
+        last answer from any member is checked before the majority.
+        """
         if self.superseded:
             return SUPERSEDED
         if not self.seeds and not self.peers:
-            return CONNECTED  # a fleet of one by its settings
+            return CONNECTED  # the settings define a fleet of one
         if self.last_ack_at is None or now - self.last_ack_at > self.settings.alone_after:
             return ALONE
         return CONNECTED if 2 * self.reached_count() > self.expected_count() else NO_MAJORITY
 
     def may_suspect(self) -> bool:
+        """Return whether this relay hears enough of the fleet to suspect others."""
         return self.standing in (CONNECTED, NO_MAJORITY)
 
-    # Time
+    # Time and timers
 
     def advance_clock(self, now: int) -> None:
-        """First of all, whenever this relay runs: how long it did not, and what follows from time alone."""
+        """Detect a stall of this relay and update its standing for the time that has passed.
+
+        The caller calls this before anything else whenever the relay gets to run.
+        """
         stall_duration = now - self.last_run_at
         self.last_run_at = now
         if stall_duration > self.settings.stall_threshold:
@@ -217,7 +282,11 @@
         self.update_standing(now)
 
     def recover_from_stall(self, now: int, stall_duration: int) -> None:
-        """Danger: old ears. Answers that were not read are no silence: what was asked is asked anew, suspects have the time again."""
+        """Discard what was concluded from a silence that this relay's own stall has caused.
+
+        Answers may have arrived that were not read, so pending probes are dropped, to be sent
+        again, and each suspicion timeout is extended by the stall.
+        """
         self.counts["stood"] += 1
         self.probes.clear()
         self.probes_for_others.clear()
@@ -228,6 +297,7 @@
         self.events.append(("stood", {"ms": stall_duration // MS}))
 
     def update_standing(self, now: int) -> None:
+        """Recompute the standing and record an event if it changed."""
         standing = self.current_standing(now)
         if standing != self.standing:
             self.events.append(
@@ -244,7 +314,7 @@
             self.standing, self.standing_since = standing, now
 
     def next_deadline(self) -> int:
-        """When `tick` has something to do."""
+        """Return the time at which `tick` next has something to do."""
         deadlines = [
             self.next_period_at,
             *(p.expires_at if p.requests_sent else p.indirect_at for p in self.probes.values()),
@@ -255,6 +325,7 @@
         return min(deadlines)
 
     def tick(self, now: int) -> None:
+        """Run all timers that are due: probes, suspicions, forgetting and the next period."""
         self.advance_clock(now)
         if self.superseded or self.leaving:
             self.next_period_at = now + self.settings.protocol_period
@@ -281,6 +352,7 @@
         self.update_standing(now)
 
     def forget(self, name: str) -> None:
+        """Remove a peer and keep its identity, so that old rumours about it are rejected."""
         self.tombstones[name] = self.peers.pop(name).identity
         while len(self.tombstones) > MAX_TOMBSTONES:
             del self.tombstones[next(iter(self.tombstones))]
@@ -289,13 +361,18 @@
     # Probes
 
     def probe_interval(self) -> int:
-        """A round's span. Danger: one that is slow for its own sake has to hear an answer before it takes itself for alone."""
+        """Return the time between two probes, in nanoseconds.
+
+        It grows with the local health multiplier, up to half of `alone_after`: a relay that slows
+        down its own probes must still receive an answer before it would call itself alone.
+        """
         return min(
             self.settings.protocol_period * (1 + self.local_health_multiplier),
             max(self.settings.protocol_period, self.settings.alone_after // 2),
         )
 
     def begin_period(self, now: int) -> None:
+        """Probe the next target and, where due, try to reconnect and plan a full sync."""
         self.next_period_at = now + self.probe_interval()
         self.period_count += 1
         name = self.next_target()
@@ -312,7 +389,11 @@
                 self.pending_syncs.append(self.random_source.choice(names))
 
     def next_target(self) -> Optional[str]:
-        """Each once, in an order drawn anew: none waits longer than two turns through the ring."""
+        """Return the next probe target, or None without peers.
+
+        Each round visits every peer once in a newly shuffled order, so no peer waits for longer
+        than two rounds.
+        """
         for _ in range(len(self.probe_order) + 1):
             if not self.probe_order:
                 self.probe_order = [
@@ -327,6 +408,7 @@
         return None
 
     def ack_timeout(self) -> int:
+        """Return how long a direct probe waits before helpers are asked, in nanoseconds."""
         return int(
             max(
                 self.settings.min_ack_timeout,
@@ -336,6 +418,7 @@
         ) * (1 + self.local_health_multiplier)
 
     def send_probe(self, name: str, now: int) -> None:
+        """Ping a peer and record the probe."""
         self.sequence += 1
         expires_at = now + self.probe_interval()
         self.probes[self.sequence] = Probe(
@@ -349,8 +432,9 @@
         )
 
     def request_indirect_probes(self, sequence: int, probe: Probe) -> None:
+        """Repeat the ping and ask helpers to probe the target."""
         peer = self.peers.get(probe.target)
-        probe.requests_sent = 1  # also without any: it was tried
+        probe.requests_sent = 1  # counts as asked even if there is no helper
         if peer is None:
             return
         self.send(
@@ -364,14 +448,20 @@
             probe.requests_sent += 1
 
     def handle_probe_timeout(self, probe: Probe, now: int) -> None:
-        """Nobody's way led there and back. Danger: it may be this relay that hears nothing; helpers that say no speak against that."""
+        """Suspect the target of a probe that got no ack, direct or through a helper.
+
+        The cause may be that this relay itself receives nothing. Nacks from helpers speak against
+        that; if some are missing, the local health multiplier increases. A joining target is
+        forgotten instead of suspected.
+        """
         peer = self.peers.get(probe.target)
         if probe.nacks < probe.requests_sent - 1:
             self.local_health_multiplier = min(
                 MAX_LOCAL_HEALTH_MULTIPLIER, self.local_health_multiplier + 1
             )
         self.update_standing(now)
-        # Danger: one that has just gone deaf accuses whom it probes until it knows. So it accuses only on a word from anybody since.
+        # A relay that has just stopped receiving would suspect each target until it knows that it
+        # is alone. So it suspects only if any member has answered it since the probe began.
         last_ack_at = self.last_ack_at or 0
         if peer is None or not self.may_suspect() or last_ack_at < probe.started_at:
             return
@@ -383,6 +473,7 @@
             self.confirm_suspicion(peer, self.own_identity.name)
 
     def try_reconnect(self) -> None:
+        """Ping a random lost member or seed that is not known yet."""
         names = [n for n, p in self.peers.items() if p.state == LOST]
         names += [n for n in self.seeds if n not in self.peers]
         if names:
@@ -396,11 +487,14 @@
                 subject=name,
             )
 
-    # What comes
+    # Received messages
 
     def receive(self, now: int, message: Message, source) -> None:
-        """`source`: the address that it came from, at which its sender is answered; None where that tells nothing, as of a stream. Call
-        `advance_clock` before."""
+        """Process one message; call `advance_clock` before.
+
+        `source` is the address that the message came from, and at which its sender is answered;
+        None if that says nothing about the sender's address, as with a stream.
+        """
         sender = message.sender
         if sender.name == self.own_identity.name:
             return self.resolve_name_conflict(sender, source or message.address)
@@ -411,17 +505,20 @@
         if peer is None:
             return
         if origin is not None:
-            peer.address = tuple(origin)  # where it is now, whatever seeds and rumours say
+            # The actual source address overrides seeds and rumours.
+            peer.address = tuple(origin)
         for rumour in message.rumours:
             self.apply_rumour(rumour, now)
         getattr(self, "on_" + message.kind)(message, peer, now)
         self.update_standing(now)
 
     def admit_sender(self, now: int, message: Message, source) -> Optional[Peer]:
+        """Record that the sender is alive and return its peer, or None for an outdated identity."""
         sender = message.sender
         peer, tombstone = self.peers.get(sender.name), self.tombstones.get(sender.name)
         if peer is None and tombstone is not None and sender.order_key() <= tombstone.order_key():
-            # it is told so, and comes back by a turn more
+            # The sender was forgotten. The reply tells it so, and it returns with a higher
+            # incarnation.
             self.counts["old"] += 1
             self.send(
                 source,
@@ -431,7 +528,7 @@
             )
             return None
         if peer is not None and sender.process_key() < peer.identity.process_key():
-            # another process has that name since: it is told so
+            # A later process has this name. The reply tells the sender so.
             self.counts["old"] += 1
             self.send(
                 source,
@@ -462,8 +559,9 @@
         return peer
 
     def on_ping(self, message: Message, peer: Peer, now: int) -> None:
+        """Answer a probe; an indirect one is also answered to the member that requested it."""
         if message.target != self.own_identity.name:
-            return  # meant for one that had this address before
+            return  # meant for a member that had this address before
         if message.sequence:
             self.send(
                 peer.address,
@@ -475,7 +573,8 @@
         else:
             self.send(peer.address, "word", subject=peer.identity.name)
         if message.on_behalf_of is not None:
-            # Danger: the helper may hear this one and not be heard by whoever asked. So the answer goes both ways.
+            # The helper may receive this ack without being able to reach the member that
+            # requested the probe. So the ack goes to both.
             name, sequence = message.on_behalf_of
             if name in self.peers or name in self.seeds:
                 self.send(
@@ -486,7 +585,10 @@
                 )
 
     def on_again(self, message: Message, peer: Peer, now: int) -> None:
-        """Danger: the asker is heard here, and does not hear this one. So others pass the answer on."""
+        """Answer a repeated ping, and have other members forward the ack.
+
+        The prober can reach this relay, but may not receive its messages.
+        """
         self.on_ping(message, peer, now)
         if message.target == self.own_identity.name:
             helpers = [
@@ -504,6 +606,7 @@
                 )
 
     def on_pass(self, message: Message, peer: Peer, now: int) -> None:
+        """Forward another member's ack to the prober."""
         requester = self.peers.get(message.target)
         if requester is not None and message.on_behalf_of is not None:
             self.send(
@@ -511,6 +614,7 @@
             )
 
     def on_ack(self, message: Message, peer: Peer, now: int) -> None:
+        """Complete the probe, or pass the ack on to the member that requested the probe."""
         if (
             message.sequence in self.probes_for_others
             and self.probes_for_others[message.sequence][2] == message.target
@@ -529,7 +633,7 @@
         if target is not None:
             if peer is target:
                 target.last_ack_at = now
-                # else it is open which of the two was answered
+                # After a repeated ping it is unknown which of the two was answered.
                 if probe.requests_sent == 0:
                     elapsed = now - probe.started_at
                     self.round_trip_deviation += (
@@ -540,12 +644,14 @@
                 self.set_state(target, ALIVE, now, self.own_identity.name)
 
     def on_nack(self, message: Message, peer: Peer, now: int) -> None:
+        """Count a helper's report that it got no ack from the target in time."""
         probe = self.probes.get(message.sequence)
         if probe is not None and probe.target == message.target:
             probe.nacks += 1
-            self.last_ack_at = now  # the helper was reached, and is heard
+            self.last_ack_at = now  # the helper was reached, and its messages arrive
 
     def on_ask(self, message: Message, peer: Peer, now: int) -> None:
+        """Probe the target for the member that asks."""
         target = self.peers.get(message.target)
         address = target.address if target is not None else self.seeds.get(message.target)
         if address is None:
@@ -567,10 +673,13 @@
         )
 
     def on_word(self, message: Message, peer: Peer, now: int) -> None:
-        pass
+        """Do nothing more: `receive` has applied the rumours."""
 
     def send_nack(self, sequence: int) -> None:
-        """What was asked for another did not come in time: it hears that this relay at least heard the wish."""
+        """Tell the requester that an indirect probe got no ack in time.
+
+        The requester learns at least that its request reached this relay.
+        """
         name, requester_sequence, target, _ = self.probes_for_others.pop(sequence)
         if name in self.peers:
             self.send(self.peers[name].address, "nack", sequence=requester_sequence, target=target)
@@ -578,9 +687,10 @@
     # Rumours
 
     def apply_rumour(self, rumour: Rumour, now: int) -> None:
+        """Update the view from one rumour, unless it is outdated."""
         identity, state = rumour.identity, rumour.state
         if self.superseded:
-            # Danger: it would take a higher number yet, and both processes would give up
+            # This process would take a yet higher generation, and both processes would give up.
             return
         if identity.name == self.own_identity.name:
             return self.apply_rumour_about_self(rumour, now)
@@ -623,7 +733,11 @@
             self.confirm_suspicion(peer, rumour.reporter)
 
     def replace_process(self, peer: Peer, identity: Identity, advertised_address, address) -> None:
-        """Its name is another process's now. Danger: what the one before did not answer is no sign against this one."""
+        """Record that a later process has taken over the peer's name.
+
+        Pending probes of the name are dropped: that the earlier process did not answer is no
+        evidence against this one.
+        """
         self.events.append(
             (
                 "another process",
@@ -647,7 +761,10 @@
         }
 
     def set_state(self, peer: Peer, state: str, now: int, reporter: str) -> None:
-        """The one place in which what is believed of a peer changes."""
+        """Change the state of a peer, record the event and queue the rumour.
+
+        No other method changes the state of an existing peer.
+        """
         previous_state, peer.state, peer.state_since, peer.reporter = (
             peer.state,
             state,
@@ -676,7 +793,7 @@
         self.queue_rumour(peer)
 
     def confirm_suspicion(self, peer: Peer, reporter: str) -> None:
-        """One more that suspects it: less time for it to be heard."""
+        """Record another member that suspects the peer, which shortens its suspicion timeout."""
         if reporter not in peer.suspected_by and len(peer.suspected_by) <= MAX_CONFIRMATIONS:
             peer.suspected_by.add(reporter)
             peer.suspicion_deadline = min(
@@ -686,25 +803,31 @@
             self.queue_rumour(peer, reporter)
 
     def suspicion_timeout(self, suspicions: int) -> int:
-        """How long a suspect has: Lifeguard's curve, from the most with one accuser to the least with MAX_CONFIRMATIONS more."""
+        """Return how long a suspect has to refute, in nanoseconds.
+
+        Lifeguard's curve falls from the maximum with one suspecting member to the minimum with
+        MAX_CONFIRMATIONS more.
+        """
         min_timeout = (
             SUSPICION_MULTIPLIER
             * max(1.0, log(max(2, self.expected_count()), 10))
             * self.settings.protocol_period
         )
         max_timeout = MAX_SUSPICION_MULTIPLIER * min_timeout
-        # a small fleet has no more to say so
+        # A small fleet has fewer members that could confirm.
         confirmations_needed = max(1, min(MAX_CONFIRMATIONS, self.expected_count() - 2))
         share = min(1.0, log(suspicions) / log(confirmations_needed + 1))
         return int(max(min_timeout, max_timeout - (max_timeout - min_timeout) * share))
 
     def queue_rumour(self, peer: Peer, reporter=None) -> None:
+        """Queue the peer's state for gossip, replacing an earlier rumour about it."""
         self.rumour_queue[peer.identity.name] = [
             Rumour(peer.identity, peer.state, peer.advertised_address, reporter or peer.reporter),
             0,
         ]
 
     def apply_rumour_about_self(self, rumour: Rumour, now: int) -> None:
+        """Refute a suspicion, or react to a later process that has this relay's name."""
         identity = rumour.identity
         if identity.process_key() == self.own_identity.process_key():
             if (
@@ -732,7 +855,8 @@
                     )
                 )
         elif identity.process_key() > self.own_identity.process_key():
-            # An earlier process of this relay whose number went with the folder, or another one that lives: asked, before it is believed.
+            # Either an earlier process of this relay, whose generation was lost with its state
+            # folder, or another live process. It is pinged before the rumour is believed.
             if (
                 rumour.address == self.address
                 or self.rival_pinged_at.get(identity.process_key(), now)
@@ -752,7 +876,10 @@
                 self.send(rumour.address, "ping", target=self.own_identity.name)
 
     def resolve_name_conflict(self, sender: Identity, source) -> None:
-        """Another process says that it has this one's name: the higher start stays, for all alike."""
+        """Resolve that another process uses this relay's name: the later start wins.
+
+        The rule is the same for every member, so that all settle on the same process.
+        """
         if sender.process_key() > self.own_identity.process_key():
             if not self.superseded:
                 self.superseded = True
@@ -767,7 +894,7 @@
             self.counts["old"] += 1
             self.send(source, "word")
 
-    # What goes
+    # Sent messages
 
     def send(
         self,
@@ -779,7 +906,11 @@
         subject=None,
         rumours=None,
     ) -> None:
-        """`subject`: what is believed of that one goes first, so that it can answer a suspicion at once."""
+        """Queue a message for `address`.
+
+        The rumour about `subject` goes first if it is suspected or lost, so that it can refute at
+        once. `rumours` replaces the rumours that would be selected.
+        """
         if rumours is None:
             rumours = self.select_rumours(subject)
         self.outbox.append(
@@ -799,6 +930,7 @@
         )
 
     def select_rumours(self, subject) -> list[Rumour]:
+        """Return the rumours for a message: first the subject's, then the least often sent."""
         selected = []
         peer = self.peers.get(subject) if subject else None
         if peer is not None and peer.state in (SUSPECT, LOST):
@@ -822,7 +954,7 @@
         return selected
 
     def all_rumours(self) -> tuple:
-        """All that is believed, for one that is told all."""
+        """Return the full state as rumours, for a sync."""
         return tuple(
             [Rumour(self.own_identity, ALIVE, self.address, self.own_identity.name)]
             + [
@@ -832,12 +964,16 @@
         )
 
     def apply_rumours(self, rumours, now: int) -> None:
+        """Apply the rumours of a sync, and update the standing."""
         for rumour in rumours:
             self.apply_rumour(rumour, now)
         self.update_standing(now)
 
     def leave(self, now: int) -> None:
-        """Says goodbye to as many as a rumour needs; whoever drives this sends it, and stops."""
+        """Queue messages that announce this relay's departure to a sample of the members.
+
+        The rumour needs no more recipients to spread. The caller sends the messages and stops.
+        """
         self.leaving = True
         leave_rumour = Rumour(self.own_identity, LEFT, self.address, self.own_identity.name)
         recipients = [p for p in self.peers.values() if p.state in (ALIVE, SUSPECT)]
--- a/molehill/membership/service.py
+++ b/molehill/membership/service.py
@@ -1,4 +1,9 @@
-"""A member on the project's scheduler: datagrams and streams in and out, its number in the folder, its log lines and figures."""
+"""Runs a `Member` on the scheduler.
+
+The service opens the member's UDP socket and TCP listener, moves messages between them and the
+state machine, keeps the generation in the state folder, and provides log lines, metrics and the
+operators' view.
+"""
 
 import errno
 import json
@@ -31,19 +36,23 @@
 )
 from molehill.store import write_all
 
-# datagrams read before others have their turn: a flood does not hold callbacks up
+# Datagrams read before other tasks run, so that a flood does not delay callbacks.
 DATAGRAMS_PER_TURN = 64
-MAX_STREAMS = 4  # streams at once
+MAX_STREAMS = 4  # open at once
 STREAM_TIMEOUT = 2 * SECOND  # for a whole stream
-PAGE_LENGTH_BYTES = 2  # bytes of a page's length; none is longer than a datagram
+PAGE_LENGTH_BYTES = 2  # size of a page's length prefix; no page is longer than a datagram
 MAX_PAGES = 1024
-GENERATION_FILE = "member"  # file in the folder that lasts
-BURST_SECONDS = 4  # seconds of the allowance that may be said at once
-ERROR_DELAY = 100 * MS  # after a socket that errs
+GENERATION_FILE = "member"  # in the state folder, which outlasts the process
+BURST_SECONDS = 4  # seconds of the send allowance that may be used at once
+ERROR_DELAY = 100 * MS  # after a socket error
 
 
 class Membership:
-    """`config`: the relay's; `inherited`: what the process before it in an upgrade was, as of `handover_state`, or None."""
+    """Takes this relay's part in the membership protocol, over the network.
+
+    `config` is the relay's configuration. `inherited` is the state of the previous process in an
+    upgrade, as `handover_state` returns it, or None.
+    """
 
     def __init__(self, scheduler, config, log, inherited=None):
         self.scheduler, self.clock, self.log, self.config = (
@@ -59,7 +68,7 @@
             self.clock(),
         )
         self.datagram_socket = self.listener = None
-        self.session = 0  # one more with each `start` and `close`
+        self.session = 0  # increases with each `start` and `close`
         self.counts = dict.fromkeys(
             ("bytes_out", "bytes_in", "forged", "unread", "over_budget", "streams"), 0
         )
@@ -84,7 +93,10 @@
             )
 
     def handover_state(self) -> dict:
-        """What the next process of an upgrade goes on with: to others it is the same member."""
+        """Return the state that the next process in an upgrade continues with.
+
+        To other members it stays the same member.
+        """
         member = self.member
         return {
             "me": member.own_identity,
@@ -93,7 +105,7 @@
         }
 
     def reconfigure(self, config) -> None:
-        """A file read again: all but its name and address counts at once."""
+        """Apply a reloaded configuration; a new name or address waits for the next start."""
         needs_restart = config.listen != self.config.listen or config.name != self.config.name
         config.listen, config.name = self.config.listen, self.config.name
         self.config, self.codec = config, MessageCodec(config.name, config.keys)
@@ -101,14 +113,18 @@
         self.log.info("fleet taken", seeds=len(config.seeds), at_next_start=needs_restart)
 
     def next_generation(self, folder: str) -> int:
-        """One that rises with each start, also when the folder was lost: then it is the time that makes it rise."""
+        """Return a generation above that of the previous start, and store it in `folder`.
+
+        If the stored one was lost, the generation still increases, because it is at least the wall
+        clock time in milliseconds.
+        """
         disk, path = self.scheduler.machine.disk, os.path.join(folder, GENERATION_FILE)
         previous = 0
         if disk.exists(path):
             try:
                 previous = int(disk.read(path))
             except (OSError, ValueError):
-                pass  # as if it were lost
+                pass  # handled as if the file were lost
         generation = max(previous + 1, self.scheduler.machine.wall_clock() // MS)
         try:
             fd = disk.open(path + ".new", truncate=True)
@@ -123,16 +139,18 @@
         return generation
 
     def start(self) -> None:
-        """Opens its address, as soon as no other process has it, and takes part.
+        """Open the listen address as soon as no other process holds it, and take part.
 
-        Danger: closed and begun again within a moment, as when a hand-over breaks off, tasks of the time before would go on beside the new
-        ones. So each belongs to the era in which it began.
+        If membership is closed and started again at once, as after a failed handover, tasks of the
+        earlier session would go on beside the new ones. So each task ends with the session in
+        which it began.
         """
         self.session += 1
         session = self.session
         self.scheduler.spawn_supervised(lambda: self.run(session))
 
     def run(self, session: int) -> None:
+        """Open the sockets, start the receiving tasks and drive the member's timers."""
         machine = self.scheduler.machine
         while self.listener is None and session == self.session:
             sock = None
@@ -172,6 +190,7 @@
             )
 
     def receive_datagrams(self, session: int) -> None:
+        """Process datagrams until the session ends."""
         while session == self.session:
             for _ in range(DATAGRAMS_PER_TURN):
                 try:
@@ -180,7 +199,7 @@
                     self.scheduler.wait(self.datagram_socket.fileno(), READ)
                     break
                 except OSError:
-                    # an ICMP answer, or a machine short of memory
+                    # an ICMP error, or the machine is short of memory
                     self.scheduler.sleep_until(self.clock() + ERROR_DELAY)
                     break
                 self.receive_message(data, source)
@@ -188,7 +207,7 @@
                 self.scheduler.yield_now()
 
     def receive_message(self, data: bytes, source):
-        """One message, from a datagram or a page; what it was, or None."""
+        """Process the bytes of one datagram or page; return the message, or None if invalid."""
         self.counts["bytes_in"] += len(data)
         try:
             message = self.codec.decode(data)
@@ -202,7 +221,11 @@
         return message
 
     def consume_allowance(self, size: int) -> bool:
-        """Danger: a flood that is answered. So many bytes a second, whatever comes and however large the fleet is."""
+        """Take `size` bytes from the send allowance; return False if it is too small.
+
+        The limit in bytes per second holds whatever arrives and however large the fleet is, so
+        that a flood of messages does not cause a flood of answers.
+        """
         now, rate = self.clock(), self.config.bytes_per_s
         self.send_allowance = min(
             rate * BURST_SECONDS,
@@ -217,6 +240,7 @@
         return True
 
     def flush(self) -> None:
+        """Send the member's messages, start its syncs and log its events."""
         member = self.member
         outbox, member.outbox = member.outbox, []
         for address, message in outbox:
@@ -225,7 +249,7 @@
                 try:
                     self.datagram_socket.sendto(data, address)
                 except OSError:
-                    pass  # as lost on the way
+                    pass  # same as a datagram lost in the network
         pending_syncs, member.pending_syncs = member.pending_syncs, []
         for name in pending_syncs:
             self.scheduler.spawn(self.sync_with, name)
@@ -233,9 +257,10 @@
         for event, facts in events:
             self.log.info(event, **facts)
 
-    # Streams: all that is believed, page by page, both ways
+    # Streams: exchange of the full state in both directions, page by page
 
     def encoded_pages(self):
+        """Yield the full state as length-prefixed pages, as far as the allowance reaches."""
         member, rumours = self.member, self.member.all_rumours()
         for offset in range(0, len(rumours), RUMOURS_PER_MESSAGE):
             data = self.codec.encode(
@@ -252,6 +277,7 @@
             yield len(data).to_bytes(PAGE_LENGTH_BYTES, "big") + data
 
     def sync_with(self, name: str) -> None:
+        """Connect to a member and exchange the full state; ignore connection failures."""
         peer = self.member.peers.get(name)
         address, deadline = (
             (peer.address if peer else self.config.seeds.get(name)),
@@ -267,9 +293,11 @@
 
     @staticmethod
     def make_stream(scheduler, sock, kind, budget):
+        """Return a stream whose read buffer holds two messages."""
         return Stream(scheduler, sock, kind, budget, 2 * MAX_MESSAGE_BYTES)
 
     def accept_streams(self, session: int) -> None:
+        """Accept connections and exchange the full state on each, until the session ends."""
         while session == self.session:
             try:
                 sock, _ = self.listener.accept()
@@ -290,7 +318,7 @@
             )
 
     def exchange_state(self, stream, deadline: int, is_initiator: bool) -> None:
-        """Who came says all, then hears all."""
+        """Send and receive the full state; the initiator sends first."""
         self.counts["streams"] += 1
         try:
             if is_initiator:
@@ -304,11 +332,13 @@
             stream.close()
 
     def send_pages(self, stream, deadline: int) -> None:
+        """Send all pages, then a length of zero as the end mark."""
         for page in self.encoded_pages():
             stream.send(page, deadline)
         stream.send(bytes(PAGE_LENGTH_BYTES), deadline)
 
     def receive_pages(self, stream, deadline: int) -> None:
+        """Process pages up to the end mark; raise ConnectionBroken on an invalid one."""
         for _ in range(MAX_PAGES):
             size = int.from_bytes(self.read_exactly(stream, PAGE_LENGTH_BYTES, deadline), "big")
             if not size:
@@ -317,10 +347,11 @@
                 size > MAX_MESSAGE_BYTES
                 or self.receive_message(self.read_exactly(stream, size, deadline), None) is None
             ):
-                raise ConnectionBroken("no page")
+                raise ConnectionBroken("invalid page")
 
     @staticmethod
     def read_exactly(stream, size: int, deadline: int) -> bytes:
+        """Return the next `size` bytes of the stream."""
         while len(stream.buffer) < size:
             stream.read(deadline)
         return stream.buffer.take(size)
@@ -328,7 +359,7 @@
     # For operators
 
     def metrics_text(self) -> str:
-        """Lines of the door's form."""
+        """Return the metrics as lines in the format of the admin interface."""
         member = self.member
         states = [peer.state for peer in member.peers.values()]
         rows = [
@@ -345,7 +376,7 @@
         return "".join(f"router.{name}:{value}|{kind}\n" for name, value, kind in rows)
 
     def view_json(self) -> bytes:
-        """What is believed, as JSON: this one, and a row a member."""
+        """Return this relay's view of the fleet as JSON: itself, and a row for each member."""
         member, now = self.member, self.clock()
         rows = [
             {
@@ -376,15 +407,16 @@
         ).encode()
 
     def descriptor_count(self) -> int:
-        """How many it holds: its two sockets, and the streams that are open."""
+        """Return the number of open file descriptors: the two sockets, and one a stream."""
         return 2 * (self.datagram_socket is not None) + self.stream_budget.total()
 
     def leave(self) -> None:
+        """Announce this relay's departure."""
         self.member.leave(self.clock())
         self.flush()
 
     def close(self) -> None:
-        """Takes part no more; `start` opens it again."""
+        """Stop taking part and close the sockets; `start` opens them again."""
         self.session += 1
         for sock in (self.datagram_socket, self.listener):
             if sock is not None:
