--- a/tests/membership_mutations.py
+++ b/tests/membership_mutations.py
@@ -1,6 +1,7 @@
-"""Known mistakes in membership, each made in memory: what properties, model checking and rough days have to find.
+"""Plants known mistakes in `Member`, in memory.
 
-Used by tests and measurements only; no relay imports it.
+The invariants, the model checker and the random scenarios have to find each of them. Tests and
+benchmarks use this module; no relay imports it.
 """
 
 from contextlib import contextmanager
@@ -10,11 +11,12 @@
 
 
 def do_nothing(original):
+    """Replace the method by one that does nothing."""
     return lambda self, *_: None
 
 
 def ignore_time(original):
-    """Time is not looked at: whoever was answered once is connected."""
+    """Ignore elapsed time: a relay that was answered once stays connected."""
 
     def current_standing(self, now):
         return original(self, self.last_ack_at or now)
@@ -23,6 +25,8 @@
 
 
 def refute_without_increment(original):
+    """Refute a suspicion with the same incarnation."""
+
     def apply_rumour_about_self(self, rumour, now):
         own_identity = self.own_identity
         original(self, rumour, now)
@@ -40,6 +44,8 @@
 
 
 def believe_older_process(original):
+    """Accept messages of an earlier process of a name over those of a later one."""
+
     def admit_sender(self, now, message, source):
         peer = self.peers.get(message.sender.name)
         if peer is not None and message.sender.process_key() < peer.identity.process_key():
@@ -50,11 +56,12 @@
 
 
 def no_suspicion_timeout(original):
+    """Declare a suspect lost at once."""
     return lambda self, suspicions: 0
 
 
 def suspect_without_answers(original):
-    """It accuses whom it can't reach, whether it hears anybody or not."""
+    """Suspect a target that does not answer, even if this relay hears nobody."""
 
     def handle_probe_timeout(self, probe, now):
         last_ack_at, standing, self.last_ack_at = self.last_ack_at, self.standing, now
@@ -69,6 +76,8 @@
 
 
 def answer_helper_only(original):
+    """Acknowledge an indirect probe to the helper only, not to the requester."""
+
     def on_ping(self, message, peer, now):
         original(self, message._replace(on_behalf_of=None), peer, now)
 
@@ -76,7 +85,7 @@
 
 
 def revive_by_old_rumour(original):
-    """A rumour of an older turn counts as news."""
+    """Let a rumour with an older incarnation revive a member."""
 
     def apply_rumour(self, rumour, now):
         peer = self.peers.get(rumour.identity.name)
@@ -95,6 +104,8 @@
 
 
 def ignore_superseded(original):
+    """Let the earlier of two processes with one name go on."""
+
     def resolve_name_conflict(self, sender, source):
         original(self, sender, source)
         self.superseded = False
@@ -103,7 +114,7 @@
 
 
 def refute_for_others(original):
-    """It refutes for another: a turn that this one never had."""
+    """Refute on behalf of another member, with an incarnation that it never had."""
 
     def set_state(self, peer, state, now, reporter):
         if (
@@ -120,7 +131,7 @@
     return set_state
 
 
-# name -> (attribute of Member, what makes the wrong one of the right one)
+# name -> (method of Member, function that returns a faulty version of the method)
 MUTATIONS = {
     "time is not looked at": ("current_standing", ignore_time),
     "old ears after a pause": ("recover_from_stall", do_nothing),
@@ -138,6 +149,7 @@
 
 @contextmanager
 def mutated(name: str):
+    """Apply the mutation `name` to `Member` while the context is open."""
     attribute, change = MUTATIONS[name]
     original = getattr(Member, attribute)
     setattr(Member, attribute, change(original))
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -1,4 +1,8 @@
-"""Members of one fleet on a clock moved by a heap: latencies, losses, cuts by direction, pauses, kills. Used by tests and measurements."""
+"""Simulates the members of one fleet on a discrete-event clock.
+
+The simulation injects latency, message loss, one-way cuts, pauses and kills. Tests and benchmarks
+use it. Times and spans are in nanoseconds.
+"""
 
 from collections import deque
 from heapq import heappop, heappush
@@ -8,11 +12,15 @@
 from molehill.membership.member import ALIVE, ALONE, CONNECTED, LOST, MS, SUSPECT, Member, Settings
 
 MAX_DUPLICATE_DELAY = 4000 * MS
-MAX_UNREAD_DATAGRAMS = 256  # datagrams that a paused one finds when it wakes
+MAX_UNREAD_DATAGRAMS = 256  # kept for a paused member until it resumes
 
 
 class SimulatedFleet:
-    """`members`: name -> Member of those that run; `cuts`: (from, to) through which nothing comes."""
+    """Runs members on one simulated network.
+
+    `members` maps the names of the running members to their `Member`; `cuts` holds the
+    (sender, receiver) links that deliver nothing; `events` holds (time, name, event, facts).
+    """
 
     def __init__(
         self,
@@ -23,7 +31,8 @@
         latency=(1 * MS, 3 * MS),
         seeds: int = 3,
     ):
-        # share of datagrams that come twice, the second time up to MAX_DUPLICATE_DELAY behind the first
+        # Share of datagrams that are delivered twice, the second time up to MAX_DUPLICATE_DELAY
+        # after they were sent.
         self.duplicate_rate = 0.0
         self.settings, self.random_source, self.loss_rate, self.latency = (
             settings or Settings(),
@@ -55,9 +64,11 @@
             self.start(name)
 
     def address(self, name):
+        """Return the simulated address of a member."""
         return name, 7000
 
     def start(self, name, generation=None):
+        """Start a new process of a member; its generation defaults to the next one."""
         self.generations[name] = generation or self.generations.get(name, 0) + 1
         seeds = {
             other: self.address(other)
@@ -76,14 +87,17 @@
         self.schedule_tick(name, self.random_source.randrange(self.settings.protocol_period))
 
     def kill(self, name):
+        """Stop a member without a message to the others."""
         del self.members[name]
 
     def pause(self, name, span):
+        """Stop a member from running for `span`; datagrams to it wait."""
         self.paused_until[name] = self.now + span
         self.unread_datagrams[name] = deque()
         self.schedule(self.now + span, self.resume, name)
 
     def resume(self, name):
+        """Let a paused member process the datagrams that have waited, and run its timers."""
         del self.paused_until[name]
         member = self.members.get(name)
         if member is None:
@@ -97,12 +111,15 @@
     # The clock
 
     def schedule(self, when, action, *args):
+        """Call `action(*args)` at the time `when`."""
         heappush(self.scheduled, (when, next(self.tie_breaker), action, args))
 
     def schedule_tick(self, name, span):
+        """Run a member's timers after `span`, unless its process has ended by then."""
         self.schedule(self.now + max(0, span), self.tick, name, self.members[name])
 
     def tick(self, name, member):
+        """Run a member's timers and schedule the next run."""
         if self.members.get(name) is not member or name in self.paused_until:
             return
         member.tick(self.now)
@@ -113,15 +130,17 @@
         )
 
     def run(self, span):
+        """Advance the clock by `span` and run all that is due."""
         until = self.now + span
         while self.scheduled and self.scheduled[0][0] <= until:
             self.now, _, action, args = heappop(self.scheduled)
             action(*args)
         self.now = until
 
-    # What is said
+    # Messages
 
     def flush(self, name):
+        """Send a member's messages, run its syncs and collect its events."""
         member = self.members[name]
         outbox, member.outbox = member.outbox, []
         for address, message in outbox:
@@ -159,6 +178,7 @@
         self.events += [(self.now, name, event, facts) for event, facts in events]
 
     def deliver(self, name, message, source):
+        """Hand a message to a member, or keep it while the member is paused."""
         if name in self.paused_until:
             if len(self.unread_datagrams[name]) < MAX_UNREAD_DATAGRAMS:
                 self.unread_datagrams[name].append((message, source))
@@ -168,12 +188,14 @@
             member.receive(self.now, message, source)
             self.flush(name)
 
-    # What is believed
+    # Views and cuts
 
     def states_seen_by(self, name):
+        """Return the state of each peer in one member's view, by name."""
         return {peer.identity.name: peer.state for peer in self.members[name].peers.values()}
 
     def states_of(self, name, among=None):
+        """Return the states that others see one member in; None where it is unknown."""
         return {
             self.members[other].peers[name].state if name in self.members[other].peers else None
             for other in among or self.members
@@ -181,6 +203,7 @@
         }
 
     def all_alive(self):
+        """Return whether each running member sees all the others as alive, and no other peer."""
         return all(
             set(self.states_seen_by(name).values()) <= {ALIVE}
             and len(self.states_seen_by(name)) == len(self.members) - 1
@@ -188,20 +211,29 @@
         )
 
     def cut(self, left, right, both=True):
+        """Cut the links from `left` to `right` and, with `both`, the links back."""
         links = {(a, b) for a in left for b in right if a != b}
         self.cuts |= links | ({(b, a) for a, b in links} if both else set())
 
     def heal(self):
+        """Restore all links."""
         self.cuts.clear()
 
 
 def agreement_bound(fleet) -> int:
-    """Within it, after the last fault, all views are one: calls to lost ones every five rounds, refutations, rumours."""
+    """Return the span after the last fault within which all views agree, in nanoseconds.
+
+    It covers the pings to lost members every five protocol periods, refutations and gossip.
+    """
     return 40 * fleet.settings.protocol_period
 
 
 def invariant_violation(fleet, newest_believed) -> str:
-    """What no state may show; `newest_believed`: the newest incarnation that each viewer has believed so far, kept by the caller."""
+    """Return which invariant the fleet's state breaks, or "".
+
+    `newest_believed` holds the newest incarnation that each viewer has believed so far; the caller
+    keeps it from one call to the next.
+    """
     for viewer, member in fleet.members.items():
         if (
             member.standing == CONNECTED
@@ -211,7 +243,7 @@
                 or member.last_run_at - member.last_ack_at > fleet.settings.alone_after
             )
         ):
-            return f"{viewer} says connected, and nobody answered it"
+            return f"{viewer} reports connected although nobody answered it"
         for peer in member.peers.values():
             key = viewer, member.own_identity.process_key(), peer.identity.name
             if newest_believed.get(key, (0, 0, 0)) > peer.identity.order_key():
@@ -228,7 +260,11 @@
 
 
 def unfounded_suspicion(fleet, since: int, excused=()) -> str:
-    """An accusation by one that hears nobody, or of one to which nothing was done (`excused`: names that were in trouble)."""
+    """Describe a suspicion or loss after `since` that no fault explains; return "" without one.
+
+    Unfounded are a suspicion or loss declared by a member that is alone, and a loss between members
+    that had no fault. `excused` names the members that had one.
+    """
     for when, viewer, event, facts in fleet.events:
         if when < since or event != "member" or facts["now"] not in (SUSPECT, LOST):
             continue
@@ -238,14 +274,18 @@
             and fleet.members[viewer].standing == ALONE
             and fleet.members[viewer].standing_since < when
         ):
-            return f"{viewer} is alone and accuses {facts['name']}"
+            return f"{viewer} is alone and reports a failure of {facts['name']}"
         if facts["now"] == LOST and viewer not in excused and facts["name"] not in excused:
-            return f"{viewer} lost {facts['name']}, to which nothing was done"
+            return f"{viewer} lost {facts['name']}, which had no fault"
     return ""
 
 
 def run_random_faults(seed: int):
-    """A day of losses, repeats by kills and restarts, pauses, cuts one way and both, all at once. What was wrong, or None."""
+    """Run a random scenario and return what was wrong, or None.
+
+    The scenario mixes message loss, duplicates, kills, restarts, pauses, and one-way and two-way
+    cuts.
+    """
     random_source = Random(seed)
     fleet = SimulatedFleet(random_source.choice([3, 5, 8, 12]), seed=seed)
     fleet.run(10 * fleet.settings.protocol_period)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,7 @@
-"""Members of a fleet: what each believes under cuts by direction, pauses, losses, kills and false names; their bytes; their place in a relay."""
+"""Tests membership: the failure detector, its message codec, its settings and its use in relays.
+
+The failure detector runs under one-way cuts, pauses, message loss, kills and duplicate names.
+"""
 
 import json
 import os
@@ -48,6 +51,7 @@
 
 
 def settled_fleet(size, **given):
+    """Return a simulated fleet in which all members are connected and see each other alive."""
     fleet = SimulatedFleet(size, **given)
     fleet.run((5 + size // 4) * SECOND)
     assert fleet.all_alive() and {m.standing for m in fleet.members.values()} == {CONNECTED}
@@ -55,7 +59,7 @@
 
 
 def time_until(fleet, span, condition):
-    """Milliseconds until `condition()`, or an assertion."""
+    """Run until `condition()` holds and return the milliseconds; fail if `span` passes first."""
     began = fleet.now
     while not condition():
         assert fleet.now - began < span, {
@@ -65,13 +69,20 @@
     return (fleet.now - began) // MS
 
 
-# Bounds from the settings alone. A dead one: each is probed within two turns of the ring, then the longest time of a suspect.
+# The bounds follow from the settings alone.
+
+
 def loss_detection_bound(fleet):
+    """Return the span within which a dead member is known to be lost, in nanoseconds.
+
+    Each member is probed within two rounds of targets; the longest suspicion timeout follows.
+    """
     n = len(fleet.names)
     return (2 * n + 5 * 3 * max(1, len(str(n)))) * fleet.settings.protocol_period
 
 
 def isolation_bound(fleet):
+    """Return the span within which an isolated member reports that it is alone."""
     return fleet.settings.alone_after + fleet.settings.stall_threshold
 
 
@@ -106,7 +117,10 @@
 
 
 def probe_succeeds(cuts, names, prober, target):
-    """Whether a probe by x reaches y and an answer comes back, at most one helper between, as the note's table has it."""
+    """Return whether a probe reaches `target` and an answer returns to `prober`.
+
+    At most one helper is between them, as in the table in docs/design/membership.md.
+    """
     passes = lambda a, b: (a, b) not in cuts  # noqa: E731
     others = [helper for helper in names if helper not in (prober, target)]
     back = passes(target, prober) or any(
@@ -128,7 +142,7 @@
 
 
 def cut_patterns():
-    """Patterns of one-way cuts among three, one of each that differ by names only."""
+    """Yield the patterns of one-way cuts among three members, one of each that differ by names."""
     seen = set()
     for bits in product((0, 1), repeat=len(PAIRS)):
         cuts = frozenset(pair for pair, bit in zip(PAIRS, bits) if bit)
@@ -155,7 +169,7 @@
     ids=lambda cuts: ",".join(f"{a[1]}>{b[1]}" for a, b in sorted(cuts)) or "none",
 )
 def test_every_pattern_of_one_way_cuts_among_three(cuts):
-    """What each is to believe for every pattern: the table in docs/design/membership.md."""
+    """Checks each member's view for every pattern, as in the table in docs/design/membership.md."""
     fleet = settled_fleet(3, seed=5)
     fleet.cuts = set(cuts)
     fleet.run(25 * SECOND)
@@ -170,7 +184,8 @@
         fleet.run(SECOND)
         for prober, target in PAIRS:
             state = fleet.states_seen_by(prober)[target]
-            # It hears no answer: it says so, and accuses nobody. Else who can answer is alive, and whom nobody hears is lost.
+            # A prober that receives no answers reports itself as alone and suspects nobody. For any
+            # other prober, a member that can answer is alive, and one that nobody hears is lost.
             assert (
                 state == LOST if gets_acks[prober] and not gets_acks[target] else state == ALIVE
             ), (prober, target, cuts)
@@ -228,7 +243,10 @@
 
 @pytest.mark.parametrize("span_ms", [200, 1000, 3000, 10_000])
 def test_stalled_member_suspects_nobody_and_refutes(span_ms):
-    """Danger: it wakes with answers unread and timers that are all due, and takes everybody for dead."""
+    """Guards against a stalled member that declares every other member lost when it resumes.
+
+    This happens because it has unread answers, and its timers are all due.
+    """
     fleet = settled_fleet(8)
     fleet.events.clear()
     fleet.pause("r3", span_ms * MS)
@@ -261,7 +279,7 @@
     assert confirmed < unconfirmed and confirmed >= 5 * fleet.settings.protocol_period
 
 
-# Names
+# Processes and identities
 
 
 def test_later_start_supersedes_process_of_same_name():
@@ -271,7 +289,7 @@
     twin = Member(
         fleet.settings, "r1", ("twin", 7000), 2, {"r0": ("r0", 7000)}, Random(9), fleet.now
     )
-    fleet.members["twin"] = twin  # at another address, under the name r1
+    fleet.members["twin"] = twin  # at another address, with the name r1
     fleet.schedule_tick("twin", 0)
     time_until(fleet, AGREEMENT_BOUND, lambda: old.standing == SUPERSEDED)
     time_until(
@@ -288,12 +306,13 @@
     assert ("superseded", {"number": 2, "address": "twin:7000"}) in [
         row[2:] for row in fleet.events
     ]
-    # whatever it is told by a stream: it once took a number above the other's, and both gave up
+    # The old process keeps its generation, also after a sync over a stream. It once took a
+    # generation above the other's, and both gave up.
     fleet.run(20 * SECOND)
     assert old.own_identity.generation == 1 and twin.standing == CONNECTED
     before = len(old.outbox)
     old.tick(fleet.now + SECOND)
-    assert len(old.outbox) == before  # it says nothing under a name that is another's
+    assert len(old.outbox) == before  # it sends nothing under a name that another process has
 
 
 def test_lost_state_and_clock_set_back_take_higher_generation():
@@ -366,7 +385,7 @@
     assert member.standing == ALONE
 
 
-# Bytes
+# Codec
 
 CODEC = MessageCodec("north", [b"k" * 32])
 NAMES = st.text("abcz09-", min_size=1, max_size=64)
@@ -419,7 +438,7 @@
     ):
         with pytest.raises(InvalidMessage):
             CODEC.decode(corrupt)
-    # Signed as it should be and still no message: what a broken or older program would say.
+    # Correctly signed but possibly invalid, as a faulty or older program would send it.
     body = bytes(data[HEADER_BYTES:])
     for payload in (body, noise):
         try:
@@ -444,10 +463,11 @@
         MessageCodec("f", [new]).decode(MessageCodec("f", [old]).encode(message))
 
 
-# Its settings
+# Settings of the fleet
 
 
 def fleet_config(**rows):
+    """Return a configuration with a `fleet` section, changed by `rows`."""
     return {
         **net_config_fields(),
         "fleet": {
@@ -488,10 +508,10 @@
     with pytest.raises(configuration.ConfigError, match="others than its owner"):
         configuration.parse_config(rows, {"ROUTER_STATE": "x"})
     os.chmod(path, 0o600)
-    made = configuration.parse_config(rows, {"ROUTER_STATE": "x"})
+    parsed = configuration.parse_config(rows, {"ROUTER_STATE": "x"})
     assert (
-        made.fleet.keys == [b"\xaa" * 16, b"\xbb" * 16]
-        and made.sockets
+        parsed.fleet.keys == [b"\xaa" * 16, b"\xbb" * 16]
+        and parsed.sockets
         == configuration.parse_config(net_config_fields(), {"ROUTER_STATE": "x"}).sockets - 6
     )
     assert configuration.parse_config(net_config_fields(), {"ROUTER_STATE": "x"}).fleet is None
@@ -521,7 +541,10 @@
     "kind,span", [("new_dies", 0), ("old_dies", 0), ("new_hangs", 700), ("old_hangs", 700)]
 )
 def test_failed_upgrade_leaves_one_member(kind, span):
-    """Danger: it takes part no more, or twice, after the next process has died with what passed."""
+    """Guards against a relay that takes part no more, or twice, after an upgrade has failed.
+
+    This happens when the next process dies or hangs with the state that was handed over.
+    """
     for step in range(5, 140, 27):
         run = Run(
             replace(
@@ -539,6 +562,7 @@
 
 
 def views(run):
+    """Return the membership view of each relay that is up, by name."""
     return {
         name: json.loads(node.process.membership.view_json())
         for name, node in run.nodes.items()
@@ -576,7 +600,8 @@
     assert len(seen) == 4 and all(
         row["reached"] == 4 and row["standing"] == CONNECTED for row in seen.values()
     )
-    # The next process of an upgrade is the same member: nobody suspected it, nobody saw another number.
+    # The next process of an upgrade is the same member to others: nobody suspected it or saw
+    # another generation.
     lines = [line for node in run.nodes.values() for _, line in node.lines]
     assert not [
         line
@@ -592,9 +617,14 @@
     import subprocess
     import sys
 
-    code = "import sys, molehill.__main__; print([m for m in sys.modules if 'membership' in m or 'msgspec' in m or 'molehill.fleet' in m])"
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-    assert done.stdout.strip() == "[]"
+    code = (
+        "import sys, molehill.__main__; print([m for m in sys.modules"
+        " if 'membership' in m or 'msgspec' in m or 'molehill.fleet' in m])"
+    )
+    completed = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, check=True
+    )
+    assert completed.stdout.strip() == "[]"
 
 
 def test_joining_member_is_not_counted_nor_unknown_suspected():
