--- a/benchmarks/detectors.py
+++ b/benchmarks/detectors.py
@@ -1,8 +1,15 @@
-"""Cores of two other failure detectors, written from what is published of them, for `membership.py fleets`: one network, one clock, one count.
+"""Implements the core of two other failure detectors, for comparison in `membership.py fleets`.
 
-`Accrual`: heartbeats from each to each, a level of suspicion from the gaps between them. `Observers`: each is watched by a few in fixed
-rings; alerts of enough of them, and of no doubtful middle, are voted on, and a view changes once a majority votes alike (Rapid's way, its fast
-path left out). One that was taken out and is heard again is back at once, which the published one makes a join. Neither has names or wires.
+Both are written from their publications, and run on the same simulated network and clock and with
+the same counts as `Member`. Neither has process identities or a wire format.
+
+`Accrual` sends heartbeats from each member to each other, and derives a suspicion level (phi) from
+the intervals between them.
+
+`Observers` follows Rapid, without its fast path: a few observers in fixed rings watch each member.
+If enough of them alert, and no member is between the two watermarks, the members vote, and the view
+changes once a majority votes alike. A removed member that is heard again returns at once; in the
+published protocol it has to join.
 """
 
 from collections import defaultdict, deque
@@ -13,7 +20,12 @@
 
 
 class Detector:
-    """What tests/simulated_fleet.py drives: `outbox`, `pending_syncs`, `events`, `peers` by name, `tick`, `advance_clock`, `receive`, `next_deadline`."""
+    """Provides the part of `Member` that tests/simulated_fleet.py uses.
+
+    These are `outbox`, `pending_syncs`, `events`, `peers` by name, `tick`, `advance_clock`,
+    `receive` and `next_deadline`. Subclasses implement `tick` and `receive`. Times are in
+    nanoseconds.
+    """
 
     def __init__(self, settings, name, address, generation, seeds, random_source, now, names):
         self.settings, self.name, self.random_source, self.next_period_at = (
@@ -35,23 +47,29 @@
         self.started_at = now
 
     def advance_clock(self, now) -> None:
-        pass
+        """Do nothing: these detectors do not detect their own stalls."""
 
     def next_deadline(self):
+        """Return the time at which `tick` next has something to do."""
         return self.next_period_at
 
     def set_state(self, name, state) -> None:
+        """Set the state of a peer and record an event if it changed."""
         peer = self.peers[name]
         if peer.state != state:
             peer.state = state
             self.events.append(("member", {"name": name, "now": state, "by": self.name}))
 
     def send(self, name, message) -> None:
+        """Queue a message to a peer."""
         self.outbox.append(((name, 7000), message))
 
 
 class Accrual(Detector):
-    # gaps remembered; suspected, and taken for lost, at that level (as published: 8; twice that)
+    """Implements the phi accrual failure detector."""
+
+    # WINDOW_SIZE is the number of intervals kept. A member is suspected at the published level of
+    # phi, 8, and lost at twice that.
     WINDOW_SIZE, SUSPECT_PHI, LOST_PHI = 100, 8.0, 16.0
 
     def __init__(self, *arguments):
@@ -62,6 +80,7 @@
         self.last_heartbeat_at = {name: self.started_at for name in self.peers}
 
     def phi(self, name, now) -> float:
+        """Return the suspicion level of a peer."""
         intervals, elapsed = self.intervals[name], (now - self.last_heartbeat_at[name]) / MS
         mean = sum(intervals) / len(intervals)
         deviation = max(
@@ -71,6 +90,7 @@
         return -log10(max(0.5 * erfc((elapsed - mean) / deviation / sqrt(2)), 1e-300))
 
     def tick(self, now) -> None:
+        """Send heartbeats when they are due, and update the state of each peer."""
         if now >= self.next_period_at:
             self.next_period_at = now + self.settings.protocol_period
             for name in self.peers:
@@ -82,12 +102,15 @@
             )
 
     def receive(self, now, message, source) -> None:
+        """Record the interval since the sender's last heartbeat."""
         name = source[0]
         self.intervals[name].append((now - self.last_heartbeat_at[name]) / MS)
         self.last_heartbeat_at[name] = now
 
 
 class Observers(Detector):
+    """Implements detection by several observers and a vote, as in Rapid."""
+
     RINGS, HIGH_WATERMARK, LOW_WATERMARK, MAX_MISSED_PROBES, QUORUM = 6, 5, 2, 3, 0.5
 
     def __init__(self, *arguments):
@@ -107,6 +130,7 @@
         )
 
     def tick(self, now) -> None:
+        """Probe the observed members, broadcast alerts about silent ones, and vote."""
         if now < self.next_period_at:
             return
         self.next_period_at = now + self.settings.protocol_period
@@ -122,17 +146,20 @@
         self.decide()
 
     def broadcast(self, message) -> None:
+        """Record a message and send it to all peers."""
         self.record(message)
         for name in self.peers:
             self.send(name, message)
 
     def record(self, message) -> None:
+        """Record an alert or a vote."""
         if message[0] == "alert":
             self.alerts[message[1]].add(message[2])
         elif message[0] == "vote":
             self.votes[message[1]].add(message[2])
 
     def decide(self) -> None:
+        """Vote if the alerts are stable, and apply each cut that has a majority."""
         high_watermark = min(self.HIGH_WATERMARK, self.ring_count)
         stable = frozenset(
             n
@@ -145,7 +172,7 @@
             for n, observers in self.alerts.items()
             if self.LOW_WATERMARK <= len(observers) < high_watermark
         ]
-        if stable and not unstable:  # said again each round: a vote that is lost would stay so
+        if stable and not unstable:  # votes again each period, because a vote may be lost
             self.proposals.add(stable)
             self.broadcast(("vote", stable, self.name))
         for cut, voters in self.votes.items():
@@ -155,6 +182,7 @@
                         self.set_state(name, LOST)
 
     def readmit(self, name) -> None:
+        """Return a removed member to the view, and drop the alerts and votes against it."""
         self.alerts.pop(name, None)
         self.votes = defaultdict(
             set, {cut: voters for cut, voters in self.votes.items() if name not in cut}
@@ -163,6 +191,7 @@
         self.set_state(name, ALIVE)
 
     def receive(self, now, message, source) -> None:
+        """Answer a probe, note an answer, or record an alert or a vote."""
         if self.peers[source[0]].state == LOST:
             self.readmit(source[0])
         if message == ("probe",):
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,12 +1,18 @@
-"""Membership measured on its own pure module: every interleaving to a depth, mutations, fleets of 3 to 300, the SWIM paper's own beside it.
-
-    python benchmarks/membership.py model --relays 3 --depth 7     # every order of messages, losses, pauses, restarts and ticks
-    python benchmarks/membership.py mutations --seeds 40             # a row a mistake: what found it, on which seed
-    python benchmarks/membership.py fleets --relays 3 30 300       # time until all know, false suspicions an hour, bytes a relay a second
-    python benchmarks/membership.py spoilt --packets 1000000       # the decoder against spoilt packets
-    python benchmarks/membership.py cost                           # processor time and memory of one member among 300
-
-Out of CI. Networks, clocks and pauses are simulated; what counts are counts and ratios.
+"""Checks and measures the membership state machine, beside plain SWIM and two other detectors.
+
+    # every order of messages, losses, pauses, restarts and ticks, to a depth
+    python benchmarks/membership.py model --relays 3 --depth 7
+    # a row a mutation: which scenario found it, with which seed
+    python benchmarks/membership.py mutations --seeds 40
+    # detection time, false suspicions an hour and relay, messages a relay and second
+    python benchmarks/membership.py fleets --relays 3 30 300
+    # the decoder with corrupt packets
+    python benchmarks/membership.py spoilt --packets 1000000
+    # CPU time and memory of one member among 300
+    python benchmarks/membership.py cost
+
+CI does not run this. Networks, clocks and pauses are simulated, so only counts and ratios are
+meaningful.
 """
 
 import argparse
@@ -44,11 +50,16 @@
 SECOND, ALL_TO_ALL_LIMIT = 1000 * MS, 50
 
 
-# Every interleaving
+# Model checking
 
 
 class ModelState:
-    """`m`: members by name; `in_flight`: (to, message, source) under way; `newest_believed`: what each has believed."""
+    """Represents one state of the model: the members and the messages between them.
+
+    `members` maps names to members; `in_flight` holds (receiver, message, source) for each message
+    sent but not delivered; `newest_believed` holds the newest incarnations that each member has
+    believed; `trace` holds the moves that led here.
+    """
 
     def __init__(self, size: int):
         self.now, self.in_flight, self.newest_believed, self.trace, self.start_counts = (
@@ -68,6 +79,7 @@
             self.start_counts[name] = 1
 
     def copy(self) -> "ModelState":
+        """Return a copy that shares the members until `copy_member` copies one."""
         successor = copy.copy(self)
         successor.members, successor.newest_believed, successor.start_counts = (
             dict(self.members),
@@ -77,11 +89,12 @@
         return successor
 
     def copy_member(self, name: str) -> Member:
-        """That member, of this world alone from now on."""
+        """Replace a member by a copy that belongs to this state alone, and return it."""
         self.members[name] = member = copy.deepcopy(self.members[name])
         return member
 
     def collect_outbox(self, name: str) -> None:
+        """Move a member's messages into `in_flight`."""
         member = self.members[name]
         self.in_flight += tuple(
             (address[0], message, (name, 7000)) for address, message in member.outbox
@@ -89,6 +102,7 @@
         member.outbox, member.pending_syncs = [], []
 
     def state_key(self):
+        """Return a hash of all that decides how the state goes on."""
         rows = []
         for name, member in self.members.items():
             peers = tuple(
@@ -137,6 +151,7 @@
         )
 
     def moves(self):
+        """Yield the (action, subject) moves that are possible; equal messages count once."""
         for n, (to, message, source) in enumerate(self.in_flight):
             if n and self.in_flight[n] in self.in_flight[:n]:
                 continue
@@ -149,13 +164,15 @@
                 yield ("restart", name)
 
     def apply_move(self, move) -> "ModelState":
+        """Return the state after a move; this state stays as it is."""
         successor, (action, subject) = self.copy(), move
         successor.trace = self.trace + (
             move
             if action not in ("deliver", "lose")
             else (
                 action,
-                f"{self.in_flight[subject][1].kind} {self.in_flight[subject][2][0]}>{self.in_flight[subject][0]}",
+                f"{self.in_flight[subject][1].kind} "
+                f"{self.in_flight[subject][2][0]}>{self.in_flight[subject][0]}",
             ),
         )
         if action in ("deliver", "lose"):
@@ -175,7 +192,7 @@
             )
             member.tick(successor.now)
             successor.collect_outbox(subject)
-        # it stands still over its alone_after, then looks at its clock
+        # The member is paused for longer than alone_after, then runs its timers.
         elif action == "pause":
             member = successor.copy_member(subject)
             successor.now = max(
@@ -199,6 +216,7 @@
         return successor
 
     def find_violation(self) -> str:
+        """Return which rule the state or its new events break, or ""."""
         found = invariant_violation(self, self.newest_believed)
         for name, member in self.members.items():
             for event, facts in member.events:
@@ -217,7 +235,7 @@
                     and member.standing == ALONE
                     and member.standing_since < member.last_run_at
                 ):
-                    found = found or f"{name} is alone and accuses {facts['name']}"
+                    found = found or f"{name} is alone and reports a failure of {facts['name']}"
             member.events.clear()
         return found
 
@@ -227,10 +245,13 @@
 
 
 def check_model(size: int, depth: int, max_states: int, mutation=None):
-    """Breadth first, so the first breach has the shortest trace. (states, breach or None, its trace, depth that was finished)."""
+    """Explore the model and return (states, violation or None, its trace, depth completed).
+
+    The search is breadth first, so the first violation has the shortest trace.
+    """
     with mutated(mutation) if mutation else nullcontext():
         start = ModelState(size)
-        # All know each other: what follows is about faults, not about joining.
+        # First all members learn of each other: the model is about faults, not about joining.
         for _ in range(4):
             for name in start.members:
                 start.now += 100 * MS
@@ -261,11 +282,15 @@
         return len(seen), None, (), finished
 
 
-# Planted mistakes
+# Mutations
 
 
 def run_scripted_faults(seed: int) -> str:
-    """Days of one trouble each: one deaf, a pause, a one-way cut with a way round, a twin, a forgotten one. What was wrong, or ''."""
+    """Run scenarios with one fault each and return what was wrong, or "".
+
+    The faults are: a pause, a member that receives nothing, one-way cuts that a helper bridges,
+    message loss, a pause during a suspicion, and two processes with one name.
+    """
     random_source, newest_believed = Random(seed), {}
 
     def settled_fleet(size):
@@ -283,7 +308,9 @@
             fleet.run(fleet.settings.protocol_period)
         return ""
 
-    fleet, began = settled_fleet(random_source.choice([3, 5, 8]))  # a pause; everybody else is well
+    fleet, began = settled_fleet(
+        random_source.choice([3, 5, 8])
+    )  # one member is paused; there is no other fault
     paused = random_source.choice(fleet.names)
     fleet.pause(paused, random_source.choice([1000, 3000]) * MS)
     for _ in range(30):
@@ -299,20 +326,20 @@
         and row[3]["now"] in (SUSPECT, LOST)
         for row in fleet.events
     ):
-        return f"{paused} woke and accused"
+        return f"{paused} resumed and reported a failure of another member"
     if found := heal_and_agree(fleet):
         return found
-    fleet, began = settled_fleet(5)  # one deaf
+    fleet, began = settled_fleet(5)  # one member receives nothing
     fleet.cut([n for n in fleet.names if n != "r2"], ["r2"], both=False)
     fleet.run(fleet.settings.alone_after + fleet.settings.stall_threshold)
     if fleet.members["r2"].standing != ALONE:
-        return "r2 hears nothing and does not say alone"
+        return "r2 receives nothing and does not report itself as alone"
     fleet.run(40 * fleet.settings.protocol_period)
     if (
         found := unfounded_suspicion(fleet, began, ["r2"])
         or next(
             (
-                f"r2 accuses {row[3]['name']}"
+                f"r2 reports a failure of {row[3]['name']}"
                 for row in fleet.events
                 if row[2] == "member" and row[3]["by"] == "r2" and row[3]["now"] != ALIVE
             ),
@@ -321,7 +348,7 @@
         or heal_and_agree(fleet)
     ):
         return found
-    fleet, began = settled_fleet(3)  # a way round for each answer
+    fleet, began = settled_fleet(3)  # each answer can go through a helper
     fleet.cuts = (
         {("r0", "r1"), ("r1", "r2"), ("r2", "r0")}
         if random_source.random() < 0.5
@@ -329,22 +356,22 @@
     )
     fleet.run(60 * fleet.settings.protocol_period)
     if len(fleet.cuts) == 3 and any(m.standing != CONNECTED for m in fleet.members.values()):
-        return "a ring of one-way cuts with a way round for each, and not all are connected"
+        return "not all members are connected although a helper bridges each one-way cut"
     if found := next(
         (
-            f"{viewer} lost {row['name']} though it answers by another"
+            f"{viewer} lost {row['name']} although it answers through a helper"
             for _, viewer, event, row in fleet.events
             if event == "member" and row["now"] == LOST
         ),
         "",
     ):
         return found
-    fleet, began = settled_fleet(8)  # nothing but one datagram in five lost
+    fleet, began = settled_fleet(8)  # one datagram in five is lost, and nothing else
     fleet.loss_rate = 0.2
     fleet.run(60 * SECOND)
     if found := unfounded_suspicion(fleet, began):
         return found
-    # a pause while it suspects somebody
+    # A member is paused while it suspects another.
     fleet = SimulatedFleet(3, seed=seed, settings=Settings(alone_after=10_000 * MS))
     fleet.run(12 * fleet.settings.protocol_period)
     fleet.cut(["r2"], ["r0", "r1"])
@@ -360,8 +387,8 @@
         row[1] == "r0" and row[2] == "member" and row[3]["now"] == LOST and row[3]["by"] == "r0"
         for row in fleet.events
     ):
-        return "r0 woke and took for lost whom it had suspected before"
-    # another process under one name, at another address
+        return "r0 resumed and declared the member lost that it had suspected before"
+    # A second process has the same name, at another address.
     fleet, began = settled_fleet(4)
     old = fleet.members["r1"]
     fleet.names.append("twin")
@@ -375,28 +402,33 @@
         for n, m in fleet.members.items()
         if n not in ("twin", "r1")
     } != {2}:
-        return "two processes serve under one name"
+        return "two processes go on under one name"
     return ""
 
 
 def detect_mutation(job):
+    """Return (mutation, seed, scenario, violation) of the first run that detects the mutation."""
     mutation, seeds = job
     with mutated(mutation):
         for seed in range(1, seeds + 1):
-            for name, play in (("one trouble", run_scripted_faults), ("rough", run_random_faults)):
-                if found := play(seed):
-                    return mutation, seed, name, found[:90]
+            for scenario, run_scenario in (
+                ("scripted faults", run_scripted_faults),
+                ("random faults", run_random_faults),
+            ):
+                if found := run_scenario(seed):
+                    return mutation, seed, scenario, found[:90]
     return mutation, None, "", ""
 
 
 def find_mutations(seeds: int, jobs: int) -> None:
-    untouched = [
+    """Print what the unmutated member breaks, and what detects each mutation."""
+    unmutated = [
         found
         for seed in range(1, seeds + 1)
         for found in (run_scripted_faults(seed), run_random_faults(seed))
         if found
     ]
-    print(f"untouched: {len(untouched)} of {2 * seeds} days show anything {untouched[:2]}")
+    print(f"no mutation: {len(unmutated)} of {2 * seeds} runs show a violation {unmutated[:2]}")
     with Pool(jobs) as pool:
         for mutation, seed, name, found in pool.imap_unordered(
             detect_mutation, [(mutation, seeds) for mutation in MUTATIONS]
@@ -411,7 +443,11 @@
 
 
 class PlainSwim(Member):
-    """The SWIM paper's algorithm: helpers, suspicion for a fixed time, refutation, rumours; no sense of its own slowness or hearing."""
+    """Runs the algorithm of the SWIM paper.
+
+    It has indirect probes, a fixed suspicion timeout, refutation and gossip. It does not detect
+    that it is slow itself or that it receives nothing.
+    """
 
     def may_suspect(self) -> bool:
         return True
@@ -423,10 +459,10 @@
         return self.settings.protocol_period
 
     def suspicion_timeout(self, suspicions: int) -> int:
-        return super().suspicion_timeout(4)  # the shortest that the other has
+        return super().suspicion_timeout(4)  # the shortest one of Member
 
     def handle_probe_timeout(self, probe, now) -> None:
-        self.last_ack_at = now  # whatever it hears, it accuses
+        self.last_ack_at = now  # suspects the target whatever it receives
         super().handle_probe_timeout(probe, now)
 
     def on_ping(self, message, peer, now) -> None:
@@ -434,6 +470,7 @@
 
 
 def detector_factory(detector, size):
+    """Return a function that builds `detector` with the names of all `size` members."""
     names = [f"r{n}" for n in range(size)]
     return lambda *arguments: detector(*arguments, names)
 
@@ -447,13 +484,18 @@
 
 
 def detector_names(size: int) -> list[str]:
-    """Heartbeats from each to each are not played on large fleets: their count is known without."""
+    """Return the detectors to run on a fleet of `size` members.
+
+    Above ALL_TO_ALL_LIMIT members only `ours` and `plain SWIM` run, because the number of
+    heartbeats from each member to each other is known without a run.
+    """
     return [
         name for name in DETECTORS if size <= ALL_TO_ALL_LIMIT or name in ("ours", "plain SWIM")
     ]
 
 
 def measure_fleet(job) -> dict:
+    """Run one detector on one fleet and return its figures."""
     size, loss, detector, seconds, seed = job
     import tests.simulated_fleet as simulated_fleet
 
@@ -464,7 +506,7 @@
         fleet.events.clear()
         fleet.messages_sent, random_source, began = 0, Random(seed), fleet.now
         stalls = []
-        # somebody stands still for up to three seconds now and then
+        # Every five seconds a random member is paused for up to three seconds.
         while fleet.now - began < seconds * SECOND:
             fleet.run(5 * SECOND)
             paused, span = (
@@ -474,7 +516,7 @@
             stalls.append((paused, fleet.now, fleet.now + span + fleet.settings.protocol_period))
             fleet.pause(paused, span)
         fleet.run(5 * SECOND)
-        # False: of one that did not stand still, nor just had
+        # A suspicion is false if its subject is not paused, nor was until just before.
         false_suspicions = sum(
             row[2] == "member"
             and row[3]["now"] == SUSPECT
@@ -508,6 +550,7 @@
 
 
 def compare_detectors(sizes, seconds: int, jobs: int, seeds: int) -> None:
+    """Print the mean figures of each detector, by fleet size and message loss."""
     todo = [
         (size, loss, detector, seconds, seed)
         for size in sizes
@@ -519,7 +562,7 @@
         rows = pool.map(measure_fleet, todo, chunksize=1)
     for size in sizes:
         for loss in (0.01, 0.05, 0.2):
-            text = []
+            lines = []
             for detector in detector_names(size):
                 matching = [
                     r
@@ -531,17 +574,20 @@
                     for name in ("false", "lost", "messages", "knows_s")
                 }
                 hours = seconds / 3600
-                text.append(
-                    f"{detector}: {mean['false'] / hours / size:.1f} false suspicions and {mean['lost'] / hours / size:.2f} losses "
-                    f"an hour and relay, {mean['messages']:.1f} messages a second, a dead one known after {mean['knows_s']:.1f} s"
+                lines.append(
+                    f"{detector}: {mean['false'] / hours / size:.1f} false suspicions "
+                    f"and {mean['lost'] / hours / size:.2f} losses "
+                    f"an hour and relay, {mean['messages']:.1f} messages a second, "
+                    f"a dead member detected after {mean['knows_s']:.1f} s"
                 )
-            print(f"{size} relays, {loss:.0%} lost:", *text, sep="\n    ", flush=True)
+            print(f"{size} relays, {loss:.0%} lost:", *lines, sep="\n    ", flush=True)
 
 
-# Bytes and cost
+# Codec and cost
 
 
 def measure_decoder(packets: int) -> None:
+    """Decode corrupt packets, and print how many are rejected and the mean time."""
     codec, random_source = MessageCodec("north", [b"k" * 32]), Random(1)
     fleet = SimulatedFleet(12)
     fleet.run(5 * SECOND)
@@ -553,11 +599,11 @@
         )
         for m in fleet.members.values()
     ]
-    refused = read = 0
+    rejected = decoded = 0
     began = time.perf_counter()
     for n in range(packets):
         data = bytearray(random_source.choice(rows))
-        # signed as it should be, so that the decoder sees it
+        # Half of the packets are signed after the change, so that they reach the decoder.
         if n % 2:
             body = data[18:]
             body[random_source.randrange(len(body))] = random_source.randrange(256)
@@ -571,16 +617,19 @@
             data[random_source.randrange(len(data))] ^= random_source.randrange(1, 256)
         try:
             codec.decode(bytes(data))
-            read += 1
+            decoded += 1
         except InvalidMessage:
-            refused += 1
+            rejected += 1
     elapsed = time.perf_counter() - began
     print(
-        f"{packets} spoilt packets: {refused} refused, {read} still a message (rightly signed), none else; {elapsed / packets * 1e6:.1f} us each"
+        f"{packets} corrupt packets: {rejected} rejected, "
+        f"{decoded} still decoded (correctly signed), no other error; "
+        f"{elapsed / packets * 1e6:.1f} us each"
     )
 
 
 def measure_cost() -> None:
+    """Print the CPU time, memory and traffic of one member among 300."""
     fleet = SimulatedFleet(300)
     fleet.run(60 * SECOND)
     codec, member = MessageCodec("north", [b"k" * 32]), fleet.members["r7"]
@@ -617,7 +666,9 @@
         cpu_seconds += time.process_time() - call_started
     del start
     print(
-        f"one of 300: {cpu_seconds / 30 * 100:.2f} % of a core, {size / 1e6:.2f} MB of rows, {bytes_out / 30:.0f} bytes said a second, {len(received) / 30:.1f} messages heard"
+        f"one of 300: {cpu_seconds / 30 * 100:.2f} % of a core, {size / 1e6:.2f} MB of state, "
+        f"{bytes_out / 30:.0f} bytes sent a second, "
+        f"{len(received) / 30:.1f} messages received a second"
     )
 
 
@@ -636,7 +687,8 @@
         for size in arguments.relays:
             states, violation, trace, level = check_model(size, arguments.depth, arguments.states)
             print(
-                f"{size} relays: {states} states, depth {level} finished: {violation or 'all hold'} {trace}",
+                f"{size} relays: {states} states, depth {level} completed: "
+                f"{violation or 'no violation'} {trace}",
                 flush=True,
             )
             for mutation in MUTATIONS:
@@ -645,7 +697,8 @@
                 )
                 if violation:
                     print(
-                        f"  {mutation}: {violation} after {states} states, in {len(trace)} moves: {trace}",
+                        f"  {mutation}: {violation} after {states} states, "
+                        f"in {len(trace)} moves: {trace}",
                         flush=True,
                     )
     elif arguments.what == "mutations":
