--- a/molehill/cli/emulate.py
+++ b/molehill/cli/emulate.py
@@ -12,66 +12,66 @@
 from molehill.emulator import sweep as sweeps
 from molehill.emulator.mutations import MUTATIONS
 
-KEPT, BROKEN, BAD = 0, 1, 2
+EXIT_KEPT, EXIT_BROKEN, EXIT_BAD_INPUT = 0, 1, 2
 
 
-def given(path, seed, weights, stage="emulated", customers=False):
+def load_scenario(path, seed, weights, stage="emulated", customers=False):
     """The scenario that a command is about: a file's, if it can be played on that stage, or the one that a seed makes."""
     if (path is None) == (seed is None):
         raise click.UsageError("either SCENARIO or --seed")
     try:
         if path is None:
-            return sweeps.from_seed(seed, weigh(weights), customers)
+            return sweeps.from_seed(seed, parse_weights(weights), customers)
         return scenarios.for_stage(scenarios.load(Path(path).read_text(encoding="utf-8")), stage)
     except (OSError, UnicodeDecodeError, scenarios.ScenarioError) as error:
         raise click.UsageError(f"{path}: {error}") from None
 
 
-def weigh(rows) -> dict[str, float]:
+def parse_weights(rows) -> dict[str, float]:
     """`kind=weight` as given; what is unknown is bad input, by its name."""
-    found = {}
+    weights_by_kind = {}
     for row in rows:
         kind, _, number = row.partition("=")
         try:
-            found[kind] = float(number)
+            weights_by_kind[kind] = float(number)
         except ValueError:
             raise click.UsageError(f"--weight {row}: not KIND=NUMBER") from None
-        if kind not in generator.ALL or found[kind] < 0:
+        if kind not in generator.ALL or weights_by_kind[kind] < 0:
             raise click.UsageError(f"--weight {row}: one of {', '.join(generator.ALL)}, 0 or more")
-    return found
+    return weights_by_kind
 
 
-def seeds_of(text: str) -> range:
+def parse_seeds(text: str) -> range:
     first, dots, last = text.partition("..")
     if not dots or not first.isdigit() or not last.isdigit() or int(last) < int(first):
         raise click.UsageError(f"--seeds {text}: not A..B")
     return range(int(first), int(last) + 1)
 
 
-def say(verdict) -> None:
+def print_json(verdict) -> None:
     click.echo(json.dumps(verdict, sort_keys=True))
 
 
-weight = click.option(
+weight_option = click.option(
     "--weight",
     "weights",
     multiple=True,
     metavar="KIND=N",
     help="How often a kind of fault falls; 0: never.",
 )
-drawn = click.option(
+customers_option = click.option(
     "--customers", is_flag=True, help="Settings are drawn too: each seed plays another customer."
 )
-which = [
+scenario_options = [
     click.argument("scenario", required=False, type=click.Path()),
     click.option("--seed", type=int),
-    weight,
-    drawn,
+    weight_option,
+    customers_option,
 ]
 
 
-def about_a_scenario(command):
-    for option in reversed(which):
+def with_scenario_options(command):
+    for option in reversed(scenario_options):
         command = option(command)
     return command
 
@@ -82,26 +82,26 @@
 
 
 @emulate.command()
-@about_a_scenario
+@with_scenario_options
 @click.option("--save", type=click.Path(), help="Writes the scenario as TOML.")
 def run(scenario, seed, weights, customers, save) -> None:
     """Plays one scenario and prints its verdict."""
-    made = given(scenario, seed, weights, customers=customers)
+    selected = load_scenario(scenario, seed, weights, customers=customers)
     if save:
-        Path(save).write_text(scenarios.dump(made), encoding="utf-8")
-    verdict = sweeps.play_one(made)
-    say(verdict)
-    sys.exit(KEPT if verdict["ok"] else BROKEN)
+        Path(save).write_text(scenarios.dump(selected), encoding="utf-8")
+    verdict = sweeps.play_one(selected)
+    print_json(verdict)
+    sys.exit(EXIT_KEPT if verdict["ok"] else EXIT_BROKEN)
 
 
 @emulate.command()
-@about_a_scenario
+@with_scenario_options
 def replay(scenario, seed, weights, customers) -> None:
     """Plays twice, the second time in a process with another hash seed, and compares digests of every event."""
-    made = given(scenario, seed, weights, customers=customers)
-    digests = sweeps.twice(made)
+    selected = load_scenario(scenario, seed, weights, customers=customers)
+    digests = sweeps.twice(selected)
     click.echo(json.dumps({"same": digests[0] == digests[1], "digests": digests}))
-    sys.exit(KEPT if digests[0] == digests[1] else BROKEN)
+    sys.exit(EXIT_KEPT if digests[0] == digests[1] else EXIT_BROKEN)
 
 
 @emulate.command()
@@ -120,17 +120,19 @@
     help="With this known mistake put into the relay.",
 )
 @click.option("--first", is_flag=True, help="Stops at the first failing seed.")
-@weight
-@drawn
+@weight_option
+@customers_option
 def sweep(seeds, jobs, out, mutation, first, weights, customers) -> None:
     """Plays a range of seeds on all the cores that are given, a line for each that fails, then a summary in JSON."""
-    todo = seeds_of(seeds)
+    seed_range = parse_seeds(seeds)
     try:
         results = sweeps.Results(out)
     except (OSError, ValueError) as error:
         raise click.UsageError(f"--out {out}: {error}") from None
-    with click.progressbar(length=len(todo), file=sys.stderr) as bar:
-        for verdict in sweeps.sweep(todo, jobs, results, mutation, weigh(weights), customers):
+    with click.progressbar(length=len(seed_range), file=sys.stderr) as bar:
+        for verdict in sweeps.sweep(
+            seed_range, jobs, results, mutation, parse_weights(weights), customers
+        ):
             bar.update(1)
             if not verdict["ok"]:
                 click.echo(
@@ -143,21 +145,21 @@
                 if first:
                     break
     summary = results.summary()
-    say(summary)
-    sys.exit(BROKEN if summary["failed"] else KEPT)
+    print_json(summary)
+    sys.exit(EXIT_BROKEN if summary["failed"] else EXIT_KEPT)
 
 
 @emulate.command()
-@about_a_scenario
+@with_scenario_options
 @click.option(
     "--out", type=click.Path(), help="Where the smaller scenario goes; else it is printed."
 )
 @click.option("--tries", type=click.IntRange(1), default=200, show_default=True)
 def shrink(scenario, seed, weights, customers, out, tries) -> None:
     """Makes a failing scenario smaller while it still breaks the same rule in the same way."""
-    made = given(scenario, seed, weights, customers=customers)
+    selected = load_scenario(scenario, seed, weights, customers=customers)
     try:
-        small, verdict, played = sweeps.shrink(made, tries)
+        small, verdict, played = sweeps.shrink(selected, tries)
     except ValueError as error:
         raise click.UsageError(str(error)) from None
     text = scenarios.dump(small)
@@ -166,18 +168,18 @@
     else:
         click.echo(text)
     click.echo(f"{played} runs; {verdict['failure']}", err=True)
-    sys.exit(BROKEN)
+    sys.exit(EXIT_BROKEN)
 
 
 @emulate.command()
-@about_a_scenario
+@with_scenario_options
 @click.option("--about", multiple=True, help="Only events that name this party, id or key.")
 @click.option("--last", type=click.IntRange(1), default=200, show_default=True)
 def show(scenario, seed, weights, customers, about, last) -> None:
     """A readable timeline of a run, by party."""
     verdict, lines = timeline.timeline(
-        given(scenario, seed, weights, customers=customers), about, last
+        load_scenario(scenario, seed, weights, customers=customers), about, last
     )
     for line in lines:
         click.echo(line)
-    sys.exit(KEPT if verdict["ok"] else BROKEN)
+    sys.exit(EXIT_KEPT if verdict["ok"] else EXIT_BROKEN)
--- a/molehill/cli/fleet.py
+++ b/molehill/cli/fleet.py
@@ -14,7 +14,7 @@
 from rich.console import Console
 from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
 
-from molehill.cli.emulate import BROKEN, KEPT, given, say, seeds_of
+from molehill.cli.emulate import EXIT_BROKEN, EXIT_KEPT, load_scenario, parse_seeds, print_json
 from molehill.emulator import scenario as scenarios
 from molehill.emulator.mutations import MUTATIONS
 from molehill.emulator.scenario import STAGES
@@ -23,37 +23,37 @@
 from molehill.fleet import play as plays
 from molehill.fleet import show as stories
 
-NOTHING_SHOWN = 3
-DOOR_WITHIN, MOST_OF_A_PAGE = 5, 1 << 22  # seconds; bytes, over ten thousand members
-EXITS = {
-    checker.KEPT: KEPT,
-    checker.BROKEN: BROKEN,
-    checker.UNKNOWN: NOTHING_SHOWN,
-    checker.VOID: NOTHING_SHOWN,
+EXIT_INCONCLUSIVE = 3
+ADMIN_TIMEOUT_S, MAX_PAGE_BYTES = 5, 1 << 22  # seconds; bytes, over ten thousand members
+EXIT_CODES = {
+    checker.KEPT: EXIT_KEPT,
+    checker.BROKEN: EXIT_BROKEN,
+    checker.UNKNOWN: EXIT_INCONCLUSIVE,
+    checker.VOID: EXIT_INCONCLUSIVE,
 }
 stage_option = click.option(
     "--stage", type=click.Choice(STAGES), default="processes", show_default=True
 )
 
 
-def loaded(path, stage, seed=None, members=False, soak=False):
+def load_or_draw_scenario(path, stage, seed=None, members=False, soak=False):
     """A file's scenario, with another seed if one is given; without a file, the day that the seed draws."""
     if path is None and seed is not None:
         return days.of_members(seed) if members else days.soaked(seed) if soak else days.drawn(seed)
-    made = given(path, None, (), stage)
-    return made if seed is None else plays.seeded(made, seed)
+    scenario = load_scenario(path, None, (), stage)
+    return scenario if seed is None else plays.seeded(scenario, seed)
 
 
-def played(scenario, stage: str, folder=None, older=None, mistake=None) -> dict:
-    with TemporaryDirectory(prefix="molehill-older-") as place:
+def play_scenario(scenario, stage: str, folder=None, older=None, mutation=None) -> dict:
+    with TemporaryDirectory(prefix="molehill-older-") as directory:
         try:
-            tree = compares.checkout(older, Path(place)) if older else None
-            return plays.play(scenario, stage, folder, older=tree, mistake=mistake)
+            older_tree = compares.checkout(older, Path(directory)) if older else None
+            return plays.play(scenario, stage, folder, older=older_tree, mistake=mutation)
         except (scenarios.ScenarioError, compares.Unusable) as error:
             raise click.UsageError(str(error)) from None
 
 
-def tell(verdict) -> None:
+def print_verdict(verdict) -> None:
     """For people: the word, what is wrong, what each fault touched, the figures."""
     out = Console(highlight=False, soft_wrap=True)
     colour = {checker.KEPT: "green", checker.BROKEN: "red"}.get(verdict["word"], "yellow")
@@ -101,7 +101,7 @@
 older_option = click.option("--older", metavar="REV", help="The commit that `older` faults start.")
 
 
-def about_days(command):
+def with_play_options(command):
     """What is played, on which stage, by which programs."""
     for option in (
         older_option,
@@ -116,7 +116,7 @@
 
 
 @fleet.command()
-@about_days
+@with_play_options
 @click.option(
     "--seed",
     type=int,
@@ -128,17 +128,19 @@
 @click.option("--json", "as_json", is_flag=True, help="The verdict as a line of JSON.")
 def run(scenario, stage, seed, mutation, members, soak, older, out, as_json) -> None:
     """Plays one scenario and prints its verdict."""
-    verdict = played(loaded(scenario, stage, seed, members, soak), stage, out, older, mutation)
+    verdict = play_scenario(
+        load_or_draw_scenario(scenario, stage, seed, members, soak), stage, out, older, mutation
+    )
     if out and stage == "processes":
         (Path(out) / plays.VERDICT).write_text(
             json.dumps(verdict, indent=1, sort_keys=True), encoding="utf-8"
         )
-    (say if as_json else tell)(verdict)
-    sys.exit(EXITS[verdict["word"]])
+    (print_json if as_json else print_verdict)(verdict)
+    sys.exit(EXIT_CODES[verdict["word"]])
 
 
 @fleet.command()
-@about_days
+@with_play_options
 @click.option("--seeds", required=True, metavar="A..B")
 @click.option(
     "--out", type=click.Path(), help="Keeps the folders of runs that were not kept there."
@@ -153,13 +155,19 @@
         TimeElapsedColumn(),
         console=Console(stderr=True),
     ) as bar:
-        todo = seeds_of(seeds)
-        task = bar.add_task("", total=len(todo), seed=todo[0])
-        for seed in todo:
+        seed_range = parse_seeds(seeds)
+        task = bar.add_task("", total=len(seed_range), seed=seed_range[0])
+        for seed in seed_range:
             bar.update(task, seed=seed)
             folder = Path(out) / str(seed) if out and stage == "processes" else None
             verdicts.append(
-                played(loaded(scenario, stage, seed, members, soak), stage, folder, older, mutation)
+                play_scenario(
+                    load_or_draw_scenario(scenario, stage, seed, members, soak),
+                    stage,
+                    folder,
+                    older,
+                    mutation,
+                )
             )
             if not verdicts[-1]["ok"]:
                 for row in verdicts[-1]["findings"]:
@@ -173,7 +181,7 @@
             if first and verdicts[-1]["word"] == checker.BROKEN:
                 break
     words = plays.words(verdicts)
-    say(
+    print_json(
         {
             "words": words,
             "seeds": len(verdicts),
@@ -183,16 +191,16 @@
     sys.exit(
         next(
             (
-                EXITS[word]
+                EXIT_CODES[word]
                 for word in (checker.BROKEN, checker.VOID, checker.UNKNOWN)
                 if word in words
             ),
-            KEPT,
+            EXIT_KEPT,
         )
     )
 
 
-def kept_run(folder) -> Path:
+def find_kept_run(folder) -> Path:
     if not (Path(folder) / plays.SCENARIO).is_file():
         raise click.UsageError(f"{folder}: no run was kept here (`fleet run --out` keeps one)")
     return Path(folder)
@@ -209,9 +217,9 @@
 @click.option("--to", "last", type=float, metavar="MS")
 def show(folder, about, first, last) -> None:
     """The story of one callback, host, relay or span of a run that was kept."""
-    place = kept_run(folder)
+    directory = find_kept_run(folder)
     try:
-        lines = stories.story(place, about, first, last)
+        lines = stories.story(directory, about, first, last)
     except ValueError as error:
         raise click.UsageError(str(error)) from None
     for line in lines:
@@ -224,17 +232,17 @@
 def members_of(where, as_json) -> None:
     """What relays believe of each other: WHERE is a relay's door (ADDRESS:PORT), or the folder of a run that was kept."""
     if Path(where).is_dir():
-        views = stories.views(kept_run(where))
+        views = stories.views(find_kept_run(where))
     else:
         try:
-            with urlopen(f"http://{where}/fleet", timeout=DOOR_WITHIN) as page:
-                views = [json.loads(page.read(MOST_OF_A_PAGE))]
+            with urlopen(f"http://{where}/fleet", timeout=ADMIN_TIMEOUT_S) as page:
+                views = [json.loads(page.read(MAX_PAGE_BYTES))]
         except (OSError, ValueError) as error:
             raise click.UsageError(
                 f"{where}: neither a kept run nor a door that tells of members: {error}"
             ) from None
     if as_json:
-        return say(views)
+        return print_json(views)
     for view in views:
         click.echo(
             f"{view['name']}: {view['standing']} for {view['since_ms'] / 1000:.1f} s, reaches {view['reached']} of {view['expected']}, "
@@ -254,7 +262,7 @@
     """One HTML page about a run that was kept."""
     from molehill.fleet import report as reports  # its plots take a second to import
 
-    reports.write(kept_run(folder), Path(target))
+    reports.write(find_kept_run(folder), Path(target))
     click.echo(target)
 
 
@@ -268,13 +276,13 @@
     """B beside A on paired seeds; each is a commit, or KEY=VALUE[,KEY=VALUE] of the scenario. Figures are ratios B/A."""
     try:
         found = compares.compare(
-            loaded(scenario, stage),
+            load_or_draw_scenario(scenario, stage),
             a,
             b,
-            seeds_of(seeds),
+            parse_seeds(seeds),
             stage,
             lambda seed, rows: click.echo(f"seed {seed}: {json.dumps(rows)}", err=True),
         )
     except compares.Unusable as error:
         raise click.UsageError(str(error)) from None
-    say(found)
+    print_json(found)
--- a/molehill/cli/soak.py
+++ b/molehill/cli/soak.py
@@ -11,30 +11,32 @@
 
 import click
 
-from molehill.cli.emulate import seeds_of
+from molehill.cli.emulate import parse_seeds
 from molehill.soak import plan as plans
-from molehill.soak.oracle import tallies
-from molehill.soak.rig import NotPlayed, play
+from molehill.soak.oracle import count_unread_calls
+from molehill.soak.rig import RunError, play
 
-SHOWN = 5  # findings of a run that are printed with their stories
+MAX_PRINTED_FINDINGS = 5  # findings of a run that are printed with their stories
 NOT_PLAYED, VOID = "not played", "void, the rig was late"
 
 
 def play_seed(seed: int, span: float, out: Path, mutation: str) -> tuple[Counter, list[str]]:
     """How often each rule was broken in that run, and the lines that tell of it."""
     try:
-        findings, history = play(plans.drawn(seed, span), out / f"seed-{seed}", mutation)
-    except NotPlayed as error:
+        findings, history = play(plans.draw_plan(seed, span), out / f"seed-{seed}", mutation)
+    except RunError as error:
         return Counter({NOT_PLAYED: 1}), [f"seed {seed}: not played: {error}"]
     counts = Counter(VOID if finding.void else finding.rule for finding in findings)
     kinds = Counter(type(event).__name__ for event in history.events)
     word = ", ".join(f"{rule}: {n}" for rule, n in counts.items()) or "kept"
     lines = [f"seed {seed}: {word} ({kinds['HandedIn']} asked, {kinds['Call']} calls)"]
-    lines[0] += "; " + ", ".join(f"{count} {what}" for what, count in tallies(history).items())
-    for finding in findings[:SHOWN]:
+    lines[0] += "; " + ", ".join(
+        f"{count} {what}" for what, count in count_unread_calls(history).items()
+    )
+    for finding in findings[:MAX_PRINTED_FINDINGS]:
         word = " (void)" if finding.void else ""
         lines.append(f"  {finding.rule}{word} at {finding.at:.3f}: {finding.id}: {finding.text}")
-        lines += [f"    {event}" for event in history.about(finding.id)]
+        lines += [f"    {event}" for event in history.for_request(finding.id)]
     return counts, lines
 
 
@@ -55,10 +57,10 @@
     totals, broken = Counter(), 0
     with ProcessPoolExecutor(jobs) as pool:
         work = partial(play_seed, span=span, out=out, mutation=mutation)
-        for counts, lines in pool.map(work, seeds_of(seeds)):
+        for counts, lines in pool.map(work, parse_seeds(seeds)):
             totals.update(counts)
             broken += bool(set(counts) - {NOT_PLAYED, VOID})
             click.echo("\n".join(lines))
-    click.echo(f"{len(seeds_of(seeds))} runs, {broken} broken: {dict(totals)}; logs in {out}")
+    click.echo(f"{len(parse_seeds(seeds))} runs, {broken} broken: {dict(totals)}; logs in {out}")
     if broken or totals[NOT_PLAYED]:
         raise SystemExit(1 if broken else 3)
--- a/molehill/cli/trace.py
+++ b/molehill/cli/trace.py
@@ -12,12 +12,12 @@
 
 from molehill.runtime.trace import Step
 
-MS = 1_000_000
-TAKEN_ON = 202
-ENDS = (Step.NOTICE_WRITTEN, Step.ANSWERED)
+NS_PER_MS = 1_000_000
+ACCEPTED_STATUS = 202
+END_STEPS = (Step.NOTICE_WRITTEN, Step.ANSWERED)
 
 
-def rows_of(path: Path) -> Iterator[dict[str, Any]]:
+def read_steps(path: Path) -> Iterator[dict[str, Any]]:
     """The steps in the file before, then in the file. A line that a kill tore is passed over."""
     for part in (Path(f"{path}.1"), path):
         if not part.exists():
@@ -31,7 +31,7 @@
             yield row
 
 
-def story(rows: list[dict[str, Any]], ident: str) -> list[dict[str, Any]]:
+def find_steps(rows: list[dict[str, Any]], ident: str) -> list[dict[str, Any]]:
     """The steps of one callback, and the ends of the client connections on which it was handed in."""
     own = [row for row in rows if row["id"] == ident]
     connections = {row["connection"] for row in own if row["step"] is Step.HANDED_IN}
@@ -45,7 +45,7 @@
     return sorted(own + closed, key=lambda row: row["at"])
 
 
-def calls_behind_an_end(rows: list[dict[str, Any]]) -> dict[str, str]:
+def find_calls_after_end(rows: list[dict[str, Any]]) -> dict[str, str]:
     """Id -> what is wrong: a call written behind its end, or one that its host may have read only then."""
     ended: dict[str, int] = {}
     unread: dict[str, set[int]] = defaultdict(set)
@@ -55,13 +55,13 @@
         if step is Step.CALL_WRITTEN:
             unread[ident].add(row["call"])
             if ident in ended:
-                late = (row["at"] - ended[ident]) / MS
+                late = (row["at"] - ended[ident]) / NS_PER_MS
                 found[ident] = f"call {row['call']} written {late:.1f} ms behind its end"
         elif step is Step.CALL_ENDED and row["result"] != "timeout":
             unread[ident].discard(row["call"])
         elif step is Step.HOST_ENDED_CONNECTION:
             unread[ident].discard(row["call"])
-        elif step in ENDS and row.get("status") != TAKEN_ON and ident not in ended:
+        elif step in END_STEPS and row.get("status") != ACCEPTED_STATUS and ident not in ended:
             ended[ident] = row["at"]
             if unread[ident]:
                 found[ident] = f"calls {sorted(unread[ident])} not known to be read at its end"
@@ -78,12 +78,12 @@
 @click.argument("ident")
 def show(file: Path, ident: str) -> None:
     """Prints the steps of one callback, with milliseconds since its first."""
-    steps = story(list(rows_of(file)), ident)
+    steps = find_steps(list(read_steps(file)), ident)
     if not steps:
         raise click.UsageError(f"{file} has nothing of {ident}")
     for row in steps:
         facts = {key: value for key, value in row.items() if key not in ("at", "step", "id")}
-        since = (row["at"] - steps[0]["at"]) / MS
+        since = (row["at"] - steps[0]["at"]) / NS_PER_MS
         text = " ".join(f"{key}={value}" for key, value in facts.items())
         click.echo(f"{since:12.3f} ms  {row['step'].value}  {text}")
 
@@ -92,7 +92,7 @@
 @click.argument("file", type=click.Path(path_type=Path, dir_okay=False))
 def behind(file: Path) -> None:
     """Lists the ids with a call that was written, or may have been read, behind their end."""
-    found = calls_behind_an_end(list(rows_of(file)))
+    found = find_calls_after_end(list(read_steps(file)))
     for ident, text in found.items():
         click.echo(f"{ident}: {text}")
     click.echo(f"{len(found)} callbacks")
--- a/molehill/soak/clients.py
+++ b/molehill/soak/clients.py
@@ -9,105 +9,115 @@
 from molehill.soak.plan import DESTINATIONS
 from molehill.soak.stand_ins import HEAD_END
 
-WAITS = 0.4  # seconds for an answer
-SPANS = (0.03, 0.06, 0.12, 0.3, 1.0, 2.0, 3.0)  # seconds in which a request may be delivered
-PAUSE = (0.01, 0.12)  # seconds between an answer and the next request
-AGAIN = 0.03  # seconds before another try to connect
-TAKEN_ON = (200, 202)
+ANSWER_TIMEOUT_S = 0.4  # seconds for an answer
+TIME_LIMITS_S = (
+    0.03,
+    0.06,
+    0.12,
+    0.3,
+    1.0,
+    2.0,
+    3.0,
+)  # seconds in which a request may be delivered
+PAUSE_S = (0.01, 0.12)  # seconds between an answer and the next request
+RECONNECT_DELAY_S = 0.03  # seconds before another try to connect
+ACCEPTED_STATUSES = (200, 202)
 CLASSES = {"status": "deduplicated", "refund": "at_most_once", "rate": "idempotent"}
 
 
 class Client:
-    """One client; it ends when `over` is set."""
+    """One client; it ends when `stopped` is set."""
 
-    def __init__(self, number, relay, history, chance, leaving=0.0):
-        """`relay`: its address and port; `leaving`: the share of requests behind whose 202 it closes its connection."""
-        self.number, self.relay, self.history, self.chance = number, relay, history, chance
-        self.leaving, self.leave_next = leaving, False
-        self.serial, self.over = 0, False
+    def __init__(self, number, relay, history, rng, withdraw_share=0.0):
+        """`relay`: its address and port; `withdraw_share`: the share of requests behind whose 202 it closes its connection."""
+        self.number, self.relay, self.history, self.rng = number, relay, history, rng
+        self.withdraw_share, self.withdraw_next = withdraw_share, False
+        self.request_count, self.stopped = 0, False
         self.reader = self.writer = None
-        self.used = 0  # requests on this connection
+        self.requests_on_connection = 0  # requests on this connection
 
     async def run(self) -> None:
-        while not self.over:
-            taken_on = await self.ask()
-            if taken_on and (self.leave_next or self.leaving and self.leaves()):
-                self.leave(taken_on)
-            await asyncio.sleep(self.chance.uniform(*PAUSE))
+        while not self.stopped:
+            accepted_id = await self.send_request()
+            if accepted_id and (
+                self.withdraw_next or self.withdraw_share and self.draws_withdrawal()
+            ):
+                self.withdraw(accepted_id)
+            await asyncio.sleep(self.rng.uniform(*PAUSE_S))
 
-    def leaves(self) -> bool:
-        return self.chance.random() < self.leaving
+    def draws_withdrawal(self) -> bool:
+        return self.rng.random() < self.withdraw_share
 
-    def leave(self, number: str) -> None:
+    def withdraw(self, request_id: str) -> None:
         """Ends the connection in order or by a reset, and with it withdraws the request."""
-        self.leave_next = False
-        self.history.left.add(number)
-        self.history.tell(Left, number)
-        if self.writer is not None and self.chance.random() < 0.5:
+        self.withdraw_next = False
+        self.history.withdrawn_ids.add(request_id)
+        self.history.record(Left, request_id)
+        if self.writer is not None and self.rng.random() < 0.5:
             sock = self.writer.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        self.hang_up()
+        self.close_connection()
 
     async def connect(self) -> bool:
-        while self.writer is None and not self.over:
+        while self.writer is None and not self.stopped:
             try:
                 self.reader, self.writer = await asyncio.open_connection(*self.relay)
-                self.used = 0
+                self.requests_on_connection = 0
             except OSError:
-                await asyncio.sleep(AGAIN)
+                await asyncio.sleep(RECONNECT_DELAY_S)
         return self.writer is not None
 
-    def hang_up(self) -> None:
+    def close_connection(self) -> None:
         if self.writer is not None:
             self.writer.close()
         self.reader = self.writer = None
 
-    async def ask(self) -> Optional[str]:
+    async def send_request(self) -> Optional[str]:
         """Hands in one request; its id if it was taken on."""
-        chance, kind = self.chance, self.chance.choice(list(CLASSES))
-        self.serial += 1
-        number, span = f"c{self.number}.{self.serial}", chance.choice(SPANS)
-        key = f"k{chance.randrange(12)}" if kind == "status" else f"{number}"
+        rng, class_name = self.rng, self.rng.choice(list(CLASSES))
+        self.request_count += 1
+        request_id, time_limit = f"c{self.number}.{self.request_count}", rng.choice(TIME_LIMITS_S)
+        key = f"k{rng.randrange(12)}" if class_name == "status" else f"{request_id}"
         data = (
-            f"POST /api HTTP/1.1\r\nReq-Id: {number}\r\nReq-Kind: {kind}\r\nCookie: subject={key}\r\n"
-            f"X-Consignee: dest={chance.randrange(DESTINATIONS)}\r\nIdempotency-Key: m-{number}\r\n"
-            f"Req-Deadline-Ms: {int(span * 1000)}\r\nContent-Length: 4\r\n\r\nbody"
+            f"POST /api HTTP/1.1\r\nReq-Id: {request_id}\r\nReq-Kind: {class_name}\r\nCookie: subject={key}\r\n"
+            f"X-Consignee: dest={rng.randrange(DESTINATIONS)}\r\nIdempotency-Key: m-{request_id}\r\n"
+            f"Req-Deadline-Ms: {int(time_limit * 1000)}\r\nContent-Length: 4\r\n\r\nbody"
         ).encode()
         # a close between requests may cross this one: once more on a new connection
         for _ in range(2):
             if not await self.connect():
                 return None
-            first = self.used == 0
-            self.used += 1
+            first = self.requests_on_connection == 0
+            self.requests_on_connection += 1
             try:
                 self.writer.write(data)
-                self.history.tell(HandedIn, number, CLASSES[kind], span)
-                status = await asyncio.wait_for(self.answered(number), WAITS)
-                return number if status in TAKEN_ON else None
+                self.history.record(HandedIn, request_id, CLASSES[class_name], time_limit)
+                status = await asyncio.wait_for(self.read_answer(request_id), ANSWER_TIMEOUT_S)
+                return request_id if status in ACCEPTED_STATUSES else None
             except asyncio.TimeoutError:
-                self.history.tell(GaveUp, number)
-                self.hang_up()
+                self.history.record(GaveUp, request_id)
+                self.close_connection()
                 return None
             except (asyncio.IncompleteReadError, ConnectionError):
-                self.hang_up()
+                self.close_connection()
                 if first:
-                    self.history.tell(Unanswered, number, first)
+                    self.history.record(Unanswered, request_id, first)
                     return None
         return None
 
-    async def answered(self, number: str) -> int:
+    async def read_answer(self, request_id: str) -> int:
         """Reads the answer; its status."""
         head = (await self.reader.readuntil(HEAD_END)).decode("latin-1").lower()
         length = int(head.partition("content-length:")[2].split("\r\n")[0] or 0)
         await self.reader.readexactly(length)
         status = int(head.split(" ")[1])
-        self.history.tell(Answered, number, status)
+        self.history.record(Answered, request_id, status)
         if "connection: close" in head:
-            self.hang_up()
+            self.close_connection()
         return status
 
 
-async def silent(address: str, port: int) -> None:
+async def hold_idle_connection(address: str, port: int) -> None:
     """A client that connects and says nothing, again and again."""
     while True:
         try:
@@ -115,4 +125,4 @@
             await reader.read()
             writer.close()
         except OSError:
-            await asyncio.sleep(AGAIN)
+            await asyncio.sleep(RECONNECT_DELAY_S)
--- a/molehill/soak/history.py
+++ b/molehill/soak/history.py
@@ -125,16 +125,18 @@
 class History:
     """Events in the order in which they were seen; `now()` stamps them."""
 
-    begun: float = field(default_factory=time.monotonic)
+    started_at: float = field(default_factory=time.monotonic)
     events: list = field(default_factory=list)
-    held: float = 0.0  # seconds for which the relay's process is held up at most
-    left: set = field(default_factory=set)  # ids of requests whose client left behind its answer
+    max_pause: float = 0.0  # seconds for which the relay's process is held up at most
+    withdrawn_ids: set = field(
+        default_factory=set
+    )  # ids of requests whose client left behind its answer
 
     def now(self) -> float:
-        return time.monotonic() - self.begun
+        return time.monotonic() - self.started_at
 
-    def tell(self, kind, *facts) -> None:
-        self.events.append(kind(self.now(), *facts))
+    def record(self, event_type, *fields) -> None:
+        self.events.append(event_type(self.now(), *fields))
 
     def insert(self, event) -> None:
         """An event that was seen a moment ago, at its place."""
@@ -143,9 +145,9 @@
             at -= 1
         self.events.insert(at, event)
 
-    def of(self, *kinds) -> list:
-        return [event for event in self.events if isinstance(event, kinds)]
+    def of_type(self, *event_types) -> list:
+        return [event for event in self.events if isinstance(event, event_types)]
 
-    def about(self, number: str) -> list:
+    def for_request(self, request_id: str) -> list:
         """The story of one request."""
-        return [event for event in self.events if getattr(event, "id", None) == number]
+        return [event for event in self.events if getattr(event, "id", None) == request_id]
--- a/molehill/soak/stand_ins.py
+++ b/molehill/soak/stand_ins.py
@@ -9,14 +9,18 @@
 from molehill.soak.history import Call, Notice, Replied, Told
 from molehill.soak.plan import NOT_READING
 
-SERVICE = (0.005, 0.03)  # seconds that a call takes, least and most
-SLOW = 0.8
-TOLD_WAIT = 0.7  # seconds, in a Retry-After
+SERVICE_TIME_S = (0.005, 0.03)  # seconds that a call takes, least and most
+SLOW_SERVICE_TIME_S = 0.8
+RETRY_AFTER_S = 0.7  # seconds, in a Retry-After
 HEAD_END = b"\r\n\r\n"
-ANSWERS = {"refuse": (503, ""), "wait": (429, f"Retry-After: {TOLD_WAIT}\r\n"), "error": (500, "")}
+MODE_ANSWERS = {
+    "refuse": (503, ""),
+    "wait": (429, f"Retry-After: {RETRY_AFTER_S}\r\n"),
+    "error": (500, ""),
+}
 
 
-def answer(status: int, headers: str = "", body: bytes = b"") -> bytes:
+def build_response(status: int, headers: str = "", body: bytes = b"") -> bytes:
     head = f"HTTP/1.1 {status} X\r\n{headers}Content-Length: {len(body)}\r\n\r\n"
     return head.encode() + body
 
@@ -24,7 +28,7 @@
 async def read_message(reader):
     """First line, headers and body of one request, and when its first byte came; raises IncompleteReadError at the end."""
     first = await reader.readexactly(1)
-    began = asyncio.get_running_loop().time()
+    received_at = asyncio.get_running_loop().time()
     head = (first + await reader.readuntil(HEAD_END)).decode("latin-1")
     line, _, rest = head.partition("\r\n")
     headers = {
@@ -32,28 +36,28 @@
         for name, _, value in (row.partition(":") for row in rest.split("\r\n"))
     }
     body = await reader.readexactly(int(headers.get("content-length", 0)))
-    return line, headers, body, began
+    return line, headers, body, received_at
 
 
-LATE_SHARE = 1 / 3  # of new connections, where hosts read late
-LOOK_EVERY = 0.005  # whether a host that does not read does again
-END_SEEN = 0.001  # seconds in which the loop reads an end that lies behind a call
+LATE_READ_SHARE = 1 / 3  # of new connections, where hosts read late
+POLL_INTERVAL_S = 0.005  # whether a host that does not read does again
+END_DETECTION_S = 0.001  # seconds in which the loop reads an end that lies behind a call
 
 
 class Host:
     """One host of a destination.
 
-    `latency`: seconds between the relay's writing and this host's reading; `read_late`: the most that a new connection's bytes lie
+    `latency`: seconds between the relay's writing and this host's reading; `max_read_delay`: the most that a new connection's bytes lie
     unread in the host's system before its process looks at them.
     """
 
-    def __init__(self, name, address, history, chance, latency, read_late=0.0):
+    def __init__(self, name, address, history, rng, latency, max_read_delay=0.0):
         self.address = address
-        self.name, self.history, self.chance, self.latency = name, history, chance, latency
-        self.read_late = read_late
+        self.name, self.history, self.rng, self.latency = name, history, rng, latency
+        self.max_read_delay = max_read_delay
         self.mode, self.listener, self.port, self.writers = "well", None, 0, set()
-        self.accepting, self.tasks = None, set()
-        self.process = (
+        self.accept_task, self.tasks = None, set()
+        self.incarnation = (
             1  # which one it is: one that goes down takes all that it had not read with it
         )
         self.destination = int(re.search(r"\d+", name)[0])
@@ -62,20 +66,20 @@
         self.listener = socket.create_server((self.address, self.port), backlog=256)
         self.listener.setblocking(False)
         self.port = self.listener.getsockname()[1]
-        self.accepting = asyncio.create_task(self.accept())
+        self.accept_task = asyncio.create_task(self.accept())
 
     async def accept(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
             sock, _ = await loop.sock_accept(self.listener)
-            task = asyncio.create_task(self.serve(sock, loop.time() - self.history.begun))
+            task = asyncio.create_task(self.serve(sock, loop.time() - self.history.started_at))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def become(self, mode: str) -> None:
+    async def set_mode(self, mode: str) -> None:
         if mode == "down":
-            self.process += 1
-            self.accepting.cancel()
+            self.incarnation += 1
+            self.accept_task.cancel()
             self.listener.close()
             for writer in list(self.writers):
                 writer.transport.abort()
@@ -83,20 +87,22 @@
             await self.open()
         self.mode = mode
 
-    async def may_read(self) -> None:
+    async def wait_until_reading(self) -> None:
         while self.mode == NOT_READING:
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def serve(self, sock, accepted: float) -> None:
         """One connection; nothing of it is read before its time, so that it lies in the host's system."""
-        waits, process = 0.0, self.process
-        if self.read_late and self.chance.random() < LATE_SHARE:
-            waits = self.chance.uniform(0, self.read_late)
-        late = bool(waits) or self.mode == NOT_READING  # the first call lay unread in the system
+        read_delay, incarnation = 0.0, self.incarnation
+        if self.max_read_delay and self.rng.random() < LATE_READ_SHARE:
+            read_delay = self.rng.uniform(0, self.max_read_delay)
+        was_unread = (
+            bool(read_delay) or self.mode == NOT_READING
+        )  # the first call lay unread in the system
         try:
-            await asyncio.sleep(waits)
-            await self.may_read()
-            if process != self.process:
+            await asyncio.sleep(read_delay)
+            await self.wait_until_reading()
+            if incarnation != self.incarnation:
                 return sock.close()
             reader, writer = await asyncio.open_connection(sock=sock)
         except (OSError, asyncio.CancelledError):
@@ -104,39 +110,41 @@
         self.writers.add(writer)
         try:
             while True:
-                line, headers, body, began = await read_message(reader)
-                first_byte = accepted if late else began - self.history.begun
-                late = False
-                await self.may_read()
-                await self.called(reader, writer, headers, first_byte, accepted)
+                line, headers, body, received_at = await read_message(reader)
+                first_byte = accepted if was_unread else received_at - self.history.started_at
+                was_unread = False
+                await self.wait_until_reading()
+                await self.answer_call(reader, writer, headers, first_byte, accepted)
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             pass  # the last of them: the run is over
         finally:
             self.writers.discard(writer)
             writer.close()
 
-    async def called(self, reader, writer, headers, first_byte, accepted) -> None:
-        process = self.process
+    async def answer_call(self, reader, writer, headers, first_byte, accepted) -> None:
+        incarnation = self.incarnation
         if self.latency:
             await asyncio.sleep(self.latency)
-        if process != self.process:
+        if incarnation != self.incarnation:
             raise ConnectionResetError
-        history, number = self.history, headers["req-id"]
+        history, request_id = self.history, headers["req-id"]
         patience, read = headers.get("req-deadline-ms"), history.now()
-        await asyncio.sleep(END_SEEN)
+        await asyncio.sleep(END_DETECTION_S)
         patience = int(patience) / 1000 if patience else None
         given_up = reader.at_eof() or reader.exception() is not None
-        history.insert(Call(read, number, self.name, first_byte, patience, accepted, given_up))
-        status, extra = ANSWERS.get(self.mode, (200, ""))
-        if number in history.left:
+        history.insert(Call(read, request_id, self.name, first_byte, patience, accepted, given_up))
+        status, extra = MODE_ANSWERS.get(self.mode, (200, ""))
+        if request_id in history.withdrawn_ids:
             status, extra = 410, ""
         if self.mode == "hang":
             return
         if self.mode == "reset":
             return writer.transport.abort()
-        await asyncio.sleep(SLOW if self.mode == "slow" else self.chance.uniform(*SERVICE))
-        writer.write(answer(status, extra))
-        history.tell(Replied, headers["req-id"], self.name, status)
+        await asyncio.sleep(
+            SLOW_SERVICE_TIME_S if self.mode == "slow" else self.rng.uniform(*SERVICE_TIME_S)
+        )
+        writer.write(build_response(status, extra))
+        history.record(Replied, headers["req-id"], self.name, status)
         await writer.drain()
 
 
@@ -147,7 +155,7 @@
         self.address = address
         self.history, self.hosts, self.version, self.changes = history, hosts, 1, []
         self.status = {host.name: "active" for host in hosts}
-        self.changed, self.server, self.port = asyncio.Condition(), None, 0
+        self.change_condition, self.server, self.port = asyncio.Condition(), None, 0
         self.down = False  # discovery; notices are taken all the same
 
     async def open(self) -> None:
@@ -166,22 +174,22 @@
             "since_ms": 0,
         }
 
-    def whole(self) -> dict:
+    def snapshot(self) -> dict:
         rows = [self.entry(host) for host in self.hosts]
         return {"index": self.version, "snapshot": True, "endpoints": rows}
 
-    async def turn(self, name: str, status: str) -> None:
+    async def set_status(self, name: str, status: str) -> None:
         """A host has another status; who watches is told."""
-        async with self.changed:
+        async with self.change_condition:
             self.status[name] = status
             self.version += 1
             self.changes.append((self.version, name))
-            self.changed.notify_all()
+            self.change_condition.notify_all()
 
     async def set_down(self, down: bool) -> None:
-        async with self.changed:
+        async with self.change_condition:
             self.down = down
-            self.changed.notify_all()
+            self.change_condition.notify_all()
 
     async def serve(self, reader, writer) -> None:
         try:
@@ -191,30 +199,31 @@
                 if method == "POST":
                     for row in body.splitlines():
                         notice = json.loads(row)
-                        self.history.tell(Notice, notice["ref"], notice["result"])
-                    writer.write(answer(204))
+                        self.history.record(Notice, notice["ref"], notice["result"])
+                    writer.write(build_response(204))
                 else:
-                    listed = await self.listed(parse_qs(urlsplit(target).query))
+                    host_list = await self.wait_for_list(parse_qs(urlsplit(target).query))
                     if self.down:
-                        writer.write(answer(503))
+                        writer.write(build_response(503))
                         continue
-                    writer.write(answer(200, body=json.dumps(listed).encode()))
-                    for row in listed["endpoints"]:
-                        self.history.tell(Told, row["name"], row["status"])
+                    writer.write(build_response(200, body=json.dumps(host_list).encode()))
+                    for row in host_list["endpoints"]:
+                        self.history.record(Told, row["name"], row["status"])
                 await writer.drain()
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             pass  # the last of them: the run is over
         finally:
             writer.close()
 
-    async def listed(self, query) -> dict:
+    async def wait_for_list(self, query) -> dict:
         if "from" not in query:
-            return self.whole()
+            return self.snapshot()
         since, hold = int(query["from"][0]), int(query["hold_ms"][0]) / 1000
-        async with self.changed:
+        async with self.change_condition:
             try:
                 await asyncio.wait_for(
-                    self.changed.wait_for(lambda: self.down or self.version > since), timeout=hold
+                    self.change_condition.wait_for(lambda: self.down or self.version > since),
+                    timeout=hold,
                 )
             except asyncio.TimeoutError:
                 pass
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -13,7 +13,7 @@
 from molehill.soak import rig
 from molehill.soak.history import Answered, Call, HandedIn, History, Notice, Process, RigLate
 from molehill.soak.oracle import judge, sent_after_end
-from molehill.soak.plan import HOSTS, Drain, End, Outage, Plan, drawn
+from molehill.soak.plan import HOSTS, Drain, Outage, Plan, Restart, draw_plan
 from tests.core_harness import MS, SECOND, drain
 from tests.harness import REQUEST, RelayHarness, kill_and_restart
 
@@ -22,7 +22,9 @@
     """Runs a plan and returns the rules that were broken, with the history of the requests."""
     findings, history = rig.play(plan, folder)
     return [
-        (found.rule, found.text, history.about(found.id)) for found in findings if not found.void
+        (found.rule, found.text, history.for_request(found.id))
+        for found in findings
+        if not found.void
     ]
 
 
@@ -35,7 +37,7 @@
 
     The plans also have pauses, a crowd of clients, and a machine that fails.
     """
-    plans = [drawn(seed, SOAK_SECONDS) for seed in SOAK_SEEDS]
+    plans = [draw_plan(seed, SOAK_SECONDS) for seed in SOAK_SEEDS]
     folders = [tmp_path / str(seed) for seed in SOAK_SEEDS]
     with ProcessPoolExecutor(SOAK_PROCESSES) as pool:
         assert not [row for rows in pool.map(rule_violations, plans, folders) for row in rows]
@@ -46,9 +48,9 @@
 
     When the next one starts, discovery is down and its list file is outdated.
     """
-    plan = Plan(1, span=7.0, clients=12)
+    plan = Plan(1, duration=7.0, clients=12)
     plan.drains = [Drain(1.0, 9.0, host) for host in HOSTS[::3]]
-    plan.ends, plan.outages = [End(3.0, "SIGKILL")], [Outage(2.9, 3.0)]
+    plan.restarts, plan.outages = [Restart(3.0, "SIGKILL")], [Outage(2.9, 3.0)]
     assert not rule_violations(plan, tmp_path)
 
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -5,7 +5,7 @@
 
 from click.testing import CliRunner
 
-from molehill.cli.trace import calls_behind_an_end, rows_of
+from molehill.cli.trace import find_calls_after_end, read_steps
 from molehill.cli.trace import trace as command
 from molehill.runtime.kernel import Disk, Kernel
 from molehill.runtime.trace import Step, Trace
@@ -46,11 +46,11 @@
     given_up = (Step.CALL_ENDED, {"call": 1, "result": "timeout"})
     read, notified = (Step.HOST_ENDED_CONNECTION, {"call": 1}), (Step.NOTICE_WRITTEN, {})
     refused = (Step.ANSWERED, {"status": 503})
-    assert not calls_behind_an_end(rows(written, given_up, read, notified))
+    assert not find_calls_after_end(rows(written, given_up, read, notified))
     assert (
-        "not known to be read" in calls_behind_an_end(rows(written, given_up, notified, read))["a"]
+        "not known to be read" in find_calls_after_end(rows(written, given_up, notified, read))["a"]
     )
-    assert "written" in calls_behind_an_end(rows(refused, written))["a"]
+    assert "written" in find_calls_after_end(rows(refused, written))["a"]
 
 
 class FailingDisk(Disk):
@@ -71,8 +71,8 @@
         FailingDisk.failing = n > 200
         trace.record(Step.HANDED_IN, f"id{n}", left=SECOND)
         assert sum(file.stat().st_size for file in tmp_path.iterdir()) <= room
-    kept = [row["id"] for row in rows_of(path)]
+    kept = [row["id"] for row in read_steps(path)]
     assert 20 < len(kept) < 60 and kept == sorted(kept, key=lambda ident: int(ident[2:]))
     with open(path, "ab") as file:
         file.write(json.dumps({"at": 1, "step": "handed in", "id": "torn"}).encode()[:20])
-    assert [row["id"] for row in rows_of(path)] == kept
+    assert [row["id"] for row in read_steps(path)] == kept
