--- a/molehill/cli/__init__.py
+++ b/molehill/cli/__init__.py
@@ -1,1 +1,4 @@
-"""The command `molehill`, a file a subcommand; none of it is imported by the daemon."""
+"""Implements the command `molehill`, with one module for each subcommand.
+
+The daemon never imports this package.
+"""
--- a/molehill/cli/__main__.py
+++ b/molehill/cli/__main__.py
@@ -1,4 +1,4 @@
-"""`molehill` or `python -m molehill.cli`."""
+"""Runs the command line as `molehill` or `python -m molehill.cli`."""
 
 import click
 
@@ -10,7 +10,7 @@
 
 @click.group()
 def main() -> None:
-    """Tools beside the relay: rehearse it, break it, look at what it did."""
+    """Tools for the relay: emulate it, test it under faults, and inspect its traces."""
 
 
 main.add_command(emulate)
--- a/molehill/cli/emulate.py
+++ b/molehill/cli/emulate.py
@@ -1,4 +1,7 @@
-"""`molehill emulate`: whole relays on a virtual clock. Exit codes: 0 all kept, 1 a rule broken, 2 bad input, key named."""
+"""Implements `molehill emulate`, which runs whole relays on a virtual clock.
+
+Exit codes: 0 all rules kept, 1 a rule broken, 2 bad input (the message names the key).
+"""
 
 import json
 import sys
@@ -16,7 +19,11 @@
 
 
 def load_scenario(path, seed, weights, stage="emulated", customers=False):
-    """The scenario that a command is about: a file's, if it can be played on that stage, or the one that a seed makes."""
+    """Loads a scenario from a file, or generates it from a seed.
+
+    Raises click.UsageError for bad input, also where the file's scenario can't be run on that
+    stage.
+    """
     if (path is None) == (seed is None):
         raise click.UsageError("either SCENARIO or --seed")
     try:
@@ -28,7 +35,7 @@
 
 
 def parse_weights(rows) -> dict[str, float]:
-    """`kind=weight` as given; what is unknown is bad input, by its name."""
+    """Parses `KIND=NUMBER` rows; raises click.UsageError that names the bad row."""
     weights_by_kind = {}
     for row in rows:
         kind, _, number = row.partition("=")
@@ -42,6 +49,7 @@
 
 
 def parse_seeds(text: str) -> range:
+    """Parses `A..B`, both inclusive; raises click.UsageError."""
     first, dots, last = text.partition("..")
     if not dots or not first.isdigit() or not last.isdigit() or int(last) < int(first):
         raise click.UsageError(f"--seeds {text}: not A..B")
@@ -49,6 +57,7 @@
 
 
 def print_json(verdict) -> None:
+    """Prints a verdict as one line of JSON."""
     click.echo(json.dumps(verdict, sort_keys=True))
 
 
@@ -57,10 +66,12 @@
     "weights",
     multiple=True,
     metavar="KIND=N",
-    help="How often a kind of fault falls; 0: never.",
+    help="Relative frequency of a kind of fault; 0: never.",
 )
 customers_option = click.option(
-    "--customers", is_flag=True, help="Settings are drawn too: each seed plays another customer."
+    "--customers",
+    is_flag=True,
+    help="Draws settings too; each seed is another customer.",
 )
 scenario_options = [
     click.argument("scenario", required=False, type=click.Path()),
@@ -71,6 +82,7 @@
 
 
 def with_scenario_options(command):
+    """Adds the argument and options that select a scenario."""
     for option in reversed(scenario_options):
         command = option(command)
     return command
@@ -78,14 +90,17 @@
 
 @click.group()
 def emulate() -> None:
-    """Whole relays on a virtual clock against stand-ins, with faults from a seed and a referee of the six rules."""
+    """Runs whole relays on a virtual clock against stand-ins.
+
+    Faults come from a seed, and a referee checks the six rules.
+    """
 
 
 @emulate.command()
 @with_scenario_options
-@click.option("--save", type=click.Path(), help="Writes the scenario as TOML.")
+@click.option("--save", type=click.Path(), help="Writes the scenario to this file as TOML.")
 def run(scenario, seed, weights, customers, save) -> None:
-    """Plays one scenario and prints its verdict."""
+    """Runs one scenario and prints its verdict."""
     selected = load_scenario(scenario, seed, weights, customers=customers)
     if save:
         Path(save).write_text(scenarios.dump(selected), encoding="utf-8")
@@ -97,7 +112,10 @@
 @emulate.command()
 @with_scenario_options
 def replay(scenario, seed, weights, customers) -> None:
-    """Plays twice, the second time in a process with another hash seed, and compares digests of every event."""
+    """Runs a scenario twice and compares the digests of all events.
+
+    The second run is in a process with another hash seed.
+    """
     selected = load_scenario(scenario, seed, weights, customers=customers)
     digests = sweeps.twice(selected)
     click.echo(json.dumps({"same": digests[0] == digests[1], "digests": digests}))
@@ -110,20 +128,23 @@
 @click.option(
     "--out",
     type=click.Path(),
-    help="A line of JSON a seed; seeds that stand there are not played again.",
+    help="File with a line of JSON for each seed; seeds that it holds are not run again.",
 )
 @click.option(
     "--mutation",
     "--planted",
     "mutation",
     type=click.Choice(sorted(MUTATIONS)),
-    help="With this known mistake put into the relay.",
+    help="Puts this known mistake into the relay.",
 )
 @click.option("--first", is_flag=True, help="Stops at the first failing seed.")
 @weight_option
 @customers_option
 def sweep(seeds, jobs, out, mutation, first, weights, customers) -> None:
-    """Plays a range of seeds on all the cores that are given, a line for each that fails, then a summary in JSON."""
+    """Runs a range of seeds in parallel processes.
+
+    Prints a line for each seed that fails, then a summary in JSON.
+    """
     seed_range = parse_seeds(seeds)
     try:
         results = sweeps.Results(out)
@@ -152,11 +173,13 @@
 @emulate.command()
 @with_scenario_options
 @click.option(
-    "--out", type=click.Path(), help="Where the smaller scenario goes; else it is printed."
+    "--out",
+    type=click.Path(),
+    help="File for the smaller scenario; without it, the scenario is printed.",
 )
 @click.option("--tries", type=click.IntRange(1), default=200, show_default=True)
 def shrink(scenario, seed, weights, customers, out, tries) -> None:
-    """Makes a failing scenario smaller while it still breaks the same rule in the same way."""
+    """Reduces a failing scenario as long as it breaks the same rule in the same way."""
     selected = load_scenario(scenario, seed, weights, customers=customers)
     try:
         small, verdict, played = sweeps.shrink(selected, tries)
@@ -173,10 +196,10 @@
 
 @emulate.command()
 @with_scenario_options
-@click.option("--about", multiple=True, help="Only events that name this party, id or key.")
+@click.option("--about", multiple=True, help="Shows only events that name this party, id or key.")
 @click.option("--last", type=click.IntRange(1), default=200, show_default=True)
 def show(scenario, seed, weights, customers, about, last) -> None:
-    """A readable timeline of a run, by party."""
+    """Prints a readable timeline of a run, by party."""
     verdict, lines = timeline.timeline(
         load_scenario(scenario, seed, weights, customers=customers), about, last
     )
--- a/molehill/cli/fleet.py
+++ b/molehill/cli/fleet.py
@@ -1,6 +1,7 @@
-"""`molehill fleet`: several relays, on the virtual clock or as processes with cables between them.
+"""Implements `molehill fleet`, which runs several relays, on the virtual clock or as processes.
 
-Exit codes: 0 kept, 1 a property broken, 2 bad input, key named, 3 void or unknown: the run shows nothing.
+Processes are connected by links that faults can disturb. Exit codes: 0 kept, 1 a property broken,
+2 bad input (the message names the key), 3 void or unknown (the run proves nothing).
 """
 
 import json
@@ -37,7 +38,7 @@
 
 
 def load_or_draw_scenario(path, stage, seed=None, members=False, soak=False):
-    """A file's scenario, with another seed if one is given; without a file, the day that the seed draws."""
+    """Loads a file's scenario, with another seed if one is given; without a file, draws one."""
     if path is None and seed is not None:
         return days.of_members(seed) if members else days.soaked(seed) if soak else days.drawn(seed)
     scenario = load_scenario(path, None, (), stage)
@@ -45,6 +46,10 @@
 
 
 def play_scenario(scenario, stage: str, folder=None, older=None, mutation=None) -> dict:
+    """Runs a scenario and returns its verdict; raises click.UsageError for bad input.
+
+    `older`: the commit that `older` faults start.
+    """
     with TemporaryDirectory(prefix="molehill-older-") as directory:
         try:
             older_tree = compares.checkout(older, Path(directory)) if older else None
@@ -54,7 +59,7 @@
 
 
 def print_verdict(verdict) -> None:
-    """For people: the word, what is wrong, what each fault touched, the figures."""
+    """Prints a verdict for people: its word, what is wrong, what each fault hit, the figures."""
     out = Console(highlight=False, soft_wrap=True)
     colour = {checker.KEPT: "green", checker.BROKEN: "red"}.get(verdict["word"], "yellow")
     out.print(f"[{colour}]{verdict['word']}[/] on stage {verdict['stage']}, seed {verdict['seed']}")
@@ -79,7 +84,10 @@
 
 @click.group()
 def fleet() -> None:
-    """Several relays under faults, as processes on this machine or emulated; one history, one verdict."""
+    """Runs several relays under faults, as processes on this machine or emulated.
+
+    One history of the run gives one verdict.
+    """
 
 
 scenario_argument = click.argument("scenario", required=False, type=click.Path())
@@ -88,21 +96,21 @@
     "--planted",
     "mutation",
     type=click.Choice(sorted(MUTATIONS)),
-    help="With this known mistake put into each relay.",
+    help="Puts this known mistake into each relay.",
 )
 members_option = click.option(
-    "--members", is_flag=True, help="Days that seeds draw are of relays that know of each other."
+    "--members", is_flag=True, help="Seeds draw scenarios of relays that are members of a fleet."
 )
 soak_option = click.option(
     "--soak",
     is_flag=True,
-    help="Days that seeds draw have stepped clocks, failing calls and a failing disk too.",
+    help="Seeds draw also stepped clocks, failing system calls and a failing disk.",
 )
 older_option = click.option("--older", metavar="REV", help="The commit that `older` faults start.")
 
 
 def with_play_options(command):
-    """What is played, on which stage, by which programs."""
+    """Adds the options that select the scenario, the stage and the version of the relays."""
     for option in (
         older_option,
         soak_option,
@@ -120,14 +128,14 @@
 @click.option(
     "--seed",
     type=int,
-    help="In place of the scenario's; without a scenario, the day that it draws.",
+    help="Replaces the scenario's seed; without a scenario, one is drawn from it.",
 )
 @click.option(
-    "--out", type=click.Path(), help="Keeps histories, logs and the verdict there (processes)."
+    "--out", type=click.Path(), help="Folder for histories, logs and the verdict (processes only)."
 )
 @click.option("--json", "as_json", is_flag=True, help="The verdict as a line of JSON.")
 def run(scenario, stage, seed, mutation, members, soak, older, out, as_json) -> None:
-    """Plays one scenario and prints its verdict."""
+    """Runs one scenario and prints its verdict."""
     verdict = play_scenario(
         load_or_draw_scenario(scenario, stage, seed, members, soak), stage, out, older, mutation
     )
@@ -143,11 +151,16 @@
 @with_play_options
 @click.option("--seeds", required=True, metavar="A..B")
 @click.option(
-    "--out", type=click.Path(), help="Keeps the folders of runs that were not kept there."
+    "--out",
+    type=click.Path(),
+    help="Folder that keeps the files of runs whose verdict is not `kept`.",
 )
-@click.option("--first", is_flag=True, help="Stops at the first broken one.")
+@click.option("--first", is_flag=True, help="Stops at the first broken run.")
 def sweep(scenario, stage, seeds, mutation, members, soak, older, out, first) -> None:
-    """Plays one scenario, or the days that they draw, with many seeds: a line for each that is not kept, then a summary in JSON."""
+    """Runs one scenario with many seeds, or the scenarios that the seeds draw.
+
+    Prints a line for each finding that is not `kept`, then a summary in JSON.
+    """
     verdicts = []
     with Progress(
         TextColumn("seed {task.fields[seed]}"),
@@ -201,6 +214,7 @@
 
 
 def find_kept_run(folder) -> Path:
+    """Returns the folder if it holds the files of a run; raises click.UsageError otherwise."""
     if not (Path(folder) / plays.SCENARIO).is_file():
         raise click.UsageError(f"{folder}: no run was kept here (`fleet run --out` keeps one)")
     return Path(folder)
@@ -211,12 +225,12 @@
 @click.option(
     "--about",
     multiple=True,
-    help="Only what names this callback, host or relay; more than one may be given.",
+    help="Shows only what names this callback, host or relay; may be repeated.",
 )
 @click.option("--from", "first", type=float, metavar="MS")
 @click.option("--to", "last", type=float, metavar="MS")
 def show(folder, about, first, last) -> None:
-    """The story of one callback, host, relay or span of a run that was kept."""
+    """Prints the events of a callback, host, relay or span of time from a kept run."""
     directory = find_kept_run(folder)
     try:
         lines = stories.story(directory, about, first, last)
@@ -230,7 +244,10 @@
 @click.argument("where")
 @click.option("--json", "as_json", is_flag=True)
 def members_of(where, as_json) -> None:
-    """What relays believe of each other: WHERE is a relay's door (ADDRESS:PORT), or the folder of a run that was kept."""
+    """Prints each relay's view of the members.
+
+    WHERE is the admin address of a relay (ADDRESS:PORT), or the folder of a kept run.
+    """
     if Path(where).is_dir():
         views = stories.views(find_kept_run(where))
     else:
@@ -239,7 +256,7 @@
                 views = [json.loads(page.read(MAX_PAGE_BYTES))]
         except (OSError, ValueError) as error:
             raise click.UsageError(
-                f"{where}: neither a kept run nor a door that tells of members: {error}"
+                f"{where}: neither a kept run nor an admin address that lists members: {error}"
             ) from None
     if as_json:
         return print_json(views)
@@ -259,8 +276,8 @@
 @click.argument("folder", type=click.Path())
 @click.argument("target", type=click.Path())
 def report(folder, target) -> None:
-    """One HTML page about a run that was kept."""
-    from molehill.fleet import report as reports  # its plots take a second to import
+    """Writes an HTML page about a kept run."""
+    from molehill.fleet import report as reports  # importing its plots takes a second
 
     reports.write(find_kept_run(folder), Path(target))
     click.echo(target)
@@ -273,7 +290,10 @@
 @stage_option
 @click.option("--seeds", required=True, metavar="A..B")
 def compare(scenario, a, b, stage, seeds) -> None:
-    """B beside A on paired seeds; each is a commit, or KEY=VALUE[,KEY=VALUE] of the scenario. Figures are ratios B/A."""
+    """Compares B with A on paired seeds; figures are ratios B/A.
+
+    A and B are each a commit, or KEY=VALUE[,KEY=VALUE] of the scenario.
+    """
     try:
         found = compares.compare(
             load_or_draw_scenario(scenario, stage),
--- a/molehill/cli/soak.py
+++ b/molehill/cli/soak.py
@@ -1,6 +1,6 @@
-"""`molehill soak`: one relay as a real process under drawn faults, and what broke.
+"""Implements `molehill soak`, which runs one relay as a real process under drawn faults.
 
-Exit codes: 0 kept, 1 a rule broken, 2 bad input, 3 a run could not be played.
+Exit codes: 0 kept, 1 a rule broken, 2 bad input, 3 a run could not be completed.
 """
 
 import tempfile
@@ -16,12 +16,12 @@
 from molehill.soak.oracle import count_unread_calls
 from molehill.soak.rig import RunError, play
 
-MAX_PRINTED_FINDINGS = 5  # findings of a run that are printed with their stories
+MAX_PRINTED_FINDINGS = 5  # findings of a run that are printed with their events
 NOT_PLAYED, VOID = "not played", "void, the rig was late"
 
 
 def play_seed(seed: int, span: float, out: Path, mutation: str) -> tuple[Counter, list[str]]:
-    """How often each rule was broken in that run, and the lines that tell of it."""
+    """Runs one seed; returns how often each rule was broken and the lines of the report."""
     try:
         findings, history = play(plans.draw_plan(seed, span), out / f"seed-{seed}", mutation)
     except RunError as error:
@@ -42,17 +42,25 @@
 
 @click.group()
 def soak():
-    """Soaks one relay on loopback: hosts that fail and leave, ends, pauses, a failing machine."""
+    """Soak-tests one relay on loopback.
+
+    Hosts fail and leave, the relay is restarted and paused, and its machine fails.
+    """
 
 
 @soak.command()
-@click.option("--seeds", default="1..1", show_default=True, help="A..B: a run each.")
-@click.option("--span", default=20.0, show_default=True, help="Seconds that clients ask in a run.")
-@click.option("--jobs", default=1, show_default=True, help="Runs beside one another.")
+@click.option("--seeds", default="1..1", show_default=True, help="A..B: one run for each.")
+@click.option(
+    "--span",
+    default=20.0,
+    show_default=True,
+    help="Seconds of a run in which clients send requests.",
+)
+@click.option("--jobs", default=1, show_default=True, help="Number of runs at the same time.")
 @click.option("--out", type=click.Path(path_type=Path), help="Folder for the relay's logs.")
 @click.option("--mutation", default="", help="A known mistake to put into the relay.")
 def run(seeds, span, jobs, out, mutation):
-    """Plays the runs of these seeds, and prints each broken rule with the story of its request."""
+    """Runs these seeds, and prints each broken rule with the events of its request."""
     out = out or Path(tempfile.mkdtemp(prefix="molehill-soak-"))
     totals, broken = Counter(), 0
     with ProcessPoolExecutor(jobs) as pool:
--- a/molehill/cli/trace.py
+++ b/molehill/cli/trace.py
@@ -1,6 +1,8 @@
-"""`molehill trace`: what a relay's trace file (`trace.file` of its configuration) tells of its callbacks.
+"""Implements `molehill trace`, which reads the trace file of a relay.
 
-Exit codes: 0 nothing found, 1 a call behind an end, 2 bad input.
+The file is `trace.file` of the relay's configuration.
+
+Exit codes: 0 nothing found, 1 a call after the end of its callback, 2 bad input.
 """
 
 import json
@@ -18,7 +20,10 @@
 
 
 def read_steps(path: Path) -> Iterator[dict[str, Any]]:
-    """The steps in the file before, then in the file. A line that a kill tore is passed over."""
+    """Yields the steps in the previous file `PATH.1`, then those in the file.
+
+    A line that is incomplete because the relay was killed is skipped.
+    """
     for part in (Path(f"{path}.1"), path):
         if not part.exists():
             continue
@@ -32,7 +37,7 @@
 
 
 def find_steps(rows: list[dict[str, Any]], ident: str) -> list[dict[str, Any]]:
-    """The steps of one callback, and the ends of the client connections on which it was handed in."""
+    """Returns the steps of one callback, and the ends of the connections that received it."""
     own = [row for row in rows if row["id"] == ident]
     connections = {row["connection"] for row in own if row["step"] is Step.HANDED_IN}
     closed = [
@@ -46,7 +51,10 @@
 
 
 def find_calls_after_end(rows: list[dict[str, Any]]) -> dict[str, str]:
-    """Id -> what is wrong: a call written behind its end, or one that its host may have read only then."""
+    """Finds calls that break the order of a callback's end; returns a text for each id.
+
+    Such a call was written after the end, or its host may have read it only then.
+    """
     ended: dict[str, int] = {}
     unread: dict[str, set[int]] = defaultdict(set)
     found: dict[str, str] = {}
@@ -77,7 +85,7 @@
 @click.argument("file", type=click.Path(path_type=Path, dir_okay=False))
 @click.argument("ident")
 def show(file: Path, ident: str) -> None:
-    """Prints the steps of one callback, with milliseconds since its first."""
+    """Prints the steps of one callback, with milliseconds since the first one."""
     steps = find_steps(list(read_steps(file)), ident)
     if not steps:
         raise click.UsageError(f"{file} has nothing of {ident}")
@@ -91,7 +99,7 @@
 @trace.command()
 @click.argument("file", type=click.Path(path_type=Path, dir_okay=False))
 def behind(file: Path) -> None:
-    """Lists the ids with a call that was written, or may have been read, behind their end."""
+    """Lists the ids with a call that was written, or may have been read, after their end."""
     found = find_calls_after_end(list(read_steps(file)))
     for ident, text in found.items():
         click.echo(f"{ident}: {text}")
--- a/molehill/soak/rig.py
+++ b/molehill/soak/rig.py
@@ -153,6 +153,7 @@
     # Control of the relay's process
 
     def write_config(self) -> None:
+        """Replaces the relay's configuration file by an atomic rename."""
         config = {
             "name": "n0",
             "listen": f"{self.address}:{self.port}",
@@ -171,6 +172,7 @@
         new.rename(self.folder / "config.json")
 
     async def start(self) -> None:
+        """Starts a process of the relay and waits until it is ready; raises RunError."""
         if not self.port:
             probe = await asyncio.start_server(lambda *_: None, self.address, 0)
             self.port = probe.sockets[0].getsockname()[1]
@@ -219,12 +221,14 @@
         raise RunError("the relay did not get ready")
 
     async def watch_process(self) -> None:
+        """Records an exit of the process that the rig did not cause."""
         while not self.is_finished:
             if not self.exit_expected and self.process.poll() is not None:
                 return self.history.record(Process, f"crashed: {self.process.returncode}")
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def record_lateness(self) -> None:
+        """Records a `RigLate` event whenever the rig's own event loop was late."""
         while not self.is_finished:
             before = self.history.now()
             await asyncio.sleep(POLL_INTERVAL_S)
@@ -243,6 +247,7 @@
             await self.restart(restart)
 
     async def restart(self, restart) -> None:
+        """Sends the signals of one restart; SIGKILL follows KILL_DELAY_S after a SIGTERM."""
         signal_names = restart.signals.split(" ")
         self.exit_expected = True
         if "SIGTERM" not in signal_names:
@@ -263,6 +268,7 @@
         self.exit_expected = False
 
     async def kill_and_start(self) -> None:
+        """Kills the process and starts the next one after START_DELAY_S."""
         self.send_signal("SIGKILL")
         self.process.wait()
         await asyncio.sleep(START_DELAY_S)
--- a/molehill/soak/stand_ins.py
+++ b/molehill/soak/stand_ins.py
@@ -78,6 +78,7 @@
         self.accept_task = asyncio.create_task(self.accept())
 
     async def accept(self) -> None:
+        """Accepts connections until it is cancelled, and serves each in a task."""
         loop = asyncio.get_running_loop()
         while True:
             sock, _ = await loop.sock_accept(self.listener)
@@ -98,6 +99,7 @@
         self.mode = mode
 
     async def wait_until_reading(self) -> None:
+        """Waits while the host is in the mode NOT_READING."""
         while self.mode == NOT_READING:
             await asyncio.sleep(POLL_INTERVAL_S)
 
@@ -136,6 +138,7 @@
             writer.close()
 
     async def answer_call(self, reader, writer, headers, first_byte, accepted) -> None:
+        """Records one call and answers it as the mode says; raises ConnectionResetError if down."""
         incarnation = self.incarnation
         if self.latency:
             await asyncio.sleep(self.latency)
@@ -177,6 +180,7 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     def entry(self, host) -> dict:
+        """Returns the host's row in discovery's list."""
         return {
             "name": host.name,
             "address": f"{host.address}:{host.port}",
