--- a/molehill/soak/stand_ins.py
+++ b/molehill/soak/stand_ins.py
@@ -132,7 +132,7 @@
                 await self.wait_until_reading()
                 await self.answer_call(reader, writer, headers, first_byte, accepted)
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
-            pass  # the last of them: the run is over
+            pass  # CancelledError means that the run is over
         finally:
             self.writers.discard(writer)
             writer.close()
@@ -231,7 +231,7 @@
                         self.history.record(Told, row["name"], row["status"])
                 await writer.drain()
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
-            pass  # the last of them: the run is over
+            pass  # CancelledError means that the run is over
         finally:
             writer.close()
 
