--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -19,8 +19,8 @@
 from tempfile import TemporaryDirectory
 
 from molehill.emulator import sweep
-from molehill.emulator.days import upgraded
 from molehill.emulator.mutations import MUTATIONS
+from molehill.emulator.sample_scenarios import upgrade_scenario
 
 # Mistakes that show in a gap of some milliseconds only: sweeps for them have more of the faults that lead there.
 WEIGHTS = {
@@ -96,7 +96,7 @@
     ]
     with ProcessPoolExecutor(jobs) as pool:
         verdicts = list(
-            pool.map(sweep.play_one, [upgraded(*point) for point in points], chunksize=8)
+            pool.map(sweep.play_one, [upgrade_scenario(*point) for point in points], chunksize=8)
         )
     broken = [
         (point, verdict["failure"]) for point, verdict in zip(points, verdicts) if not verdict["ok"]
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -23,9 +23,9 @@
 
 from molehill.config import SECOND
 from molehill.emulator import scenario as scenarios
-from molehill.emulator.days import calm
 from molehill.emulator.network import Datagrams
 from molehill.emulator.run import Run
+from molehill.emulator.sample_scenarios import simple_scenario
 from molehill.emulator.scenario import (
     Category,
     EndpointPlan,
@@ -197,7 +197,7 @@
 def words(relays: int, seconds: int = 10) -> None:
     """Each relay's machine says 100 bytes to three others a second, as a failure detector would."""
     run = Run(
-        calm(
+        simple_scenario(
             relays=relays,
             span_ms=seconds * 1000,
             programs=[ProgramPlan(100.0, [1, 2], keys=50)],
@@ -210,7 +210,7 @@
     heard = [0]
     boxes = []
     for n, node in enumerate(run.nodes.values()):
-        box = Datagrams(run.network, node.place)
+        box = Datagrams(run.network, node.machine)
         box.bind((f"10.0.{n // 250 + 1}.{n % 250 + 1}", 7000))
         box.came = lambda *_: heard.__setitem__(0, heard[0] + 1)
         boxes.append(box)
@@ -235,7 +235,7 @@
 def cables(many: int = 5000) -> None:
     """Round trips of 100-byte datagrams: straight, through a cable process, and straight with the faults drawn in the sender's process."""
     slot, held = claim()
-    scenario, places = calm(relays=2), Places(slot)
+    scenario, places = simple_scenario(relays=2), Places(slot)
     ends = []
     for n in (0, 1):
         ends.append(socket.socket(socket.AF_INET, socket.SOCK_DGRAM))
--- a/molehill/cli/emulate.py
+++ b/molehill/cli/emulate.py
@@ -117,7 +117,7 @@
     The second run is in a process with another hash seed.
     """
     selected = load_scenario(scenario, seed, weights, customers=customers)
-    digests = sweeps.twice(selected)
+    digests = sweeps.digests_of_two_runs(selected)
     click.echo(json.dumps({"same": digests[0] == digests[1], "digests": digests}))
     sys.exit(EXIT_KEPT if digests[0] == digests[1] else EXIT_BROKEN)
 
--- a/molehill/emulator/disk.py
+++ b/molehill/emulator/disk.py
@@ -1,7 +1,7 @@
 """A disk with the manners of a folder that lasts: what a killed process wrote stays, to the byte.
 
-The node sets `lock`, and `step`: each call is one, at which a kill may fall; a write may be torn there at any byte. `short`: share
-of writes that take only a part. `failing`: errno that each write and rename gives while it is set. `most`: bytes in all files.
+The node sets `lock`, and `step`: each call is one, at which a kill may fall; a write may be torn there at any byte. `short_write_share`: share
+of writes that take only a part. `write_errno`: errno that each write and rename gives while it is set. `capacity`: bytes in all files.
 """
 
 import errno
@@ -10,21 +10,26 @@
 
 
 class Disk:
-    def __init__(self, world, most: int):
-        self.world, self.most, self.files, self.step = world, most, {}, lambda what, size=0: size
-        self.fds, self.serial, self.short, self.failing = {}, 0, 0.0, None
-
-    def lose(self) -> None:
+    def __init__(self, world, capacity: int):
+        self.world, self.capacity, self.files, self.step = (
+            world,
+            capacity,
+            {},
+            lambda what, size=0: size,
+        )
+        self.fds, self.serial, self.short_write_share, self.write_errno = {}, 0, 0.0, None
+
+    def erase(self) -> None:
         self.files = {}
 
-    def spoil(self, path: str) -> None:
+    def corrupt(self, path: str) -> None:
         """Changes one byte of a file, if it has any."""
         data = self.files.get(path)
         if data:
             at = self.world.chance.randrange(len(data))
             data[at] ^= 1 << self.world.chance.randrange(8)
 
-    def used(self) -> int:
+    def used_bytes(self) -> int:
         return sum(-(-len(data) // BLOCK) * BLOCK for data in self.files.values())
 
     def image(self) -> dict[str, bytes]:
@@ -62,12 +67,16 @@
     def write(self, fd: int, data) -> int:
         file, at = self.fds[fd]
         count = len(data)
-        if count > 1 and self.short and self.world.chance.random() < self.short:
+        if (
+            count > 1
+            and self.short_write_share
+            and self.world.chance.random() < self.short_write_share
+        ):
             count = self.world.chance.randrange(1, count)
-        if self.failing:
-            raise OSError(self.failing, "the disk fails")
+        if self.write_errno:
+            raise OSError(self.write_errno, "the disk fails")
         grown = max(0, at + count - len(file))
-        room = self.most - self.used() + (-len(file)) % BLOCK
+        room = self.capacity - self.used_bytes() + (-len(file)) % BLOCK
         if grown > room:  # as kernels do: what has room goes in, then nothing
             count -= grown - max(0, room)
             if count <= 0:
@@ -89,8 +98,8 @@
 
     def rename(self, old: str, new: str) -> None:
         self.step("rename")
-        if self.failing:
-            raise OSError(self.failing, "the disk fails")
+        if self.write_errno:
+            raise OSError(self.write_errno, "the disk fails")
         self.files[new] = self.files.pop(old)
 
     def close(self, fd: int) -> None:
--- a/molehill/emulator/generator.py
+++ b/molehill/emulator/generator.py
@@ -20,17 +20,17 @@
 )
 
 EDGE_MS = 50  # how near to a bound the aimed ones fall
-DRAIN_MS, AGAIN_MS = 1000, 600
+DRAIN_MS, RESTART_MS = 1000, 600
 # share of destinations that can do little more than what is asked of them
-TIGHT = 0.4
+LOW_CAPACITY_SHARE = 0.4
 # Such a one can do so many times the load that comes, at the least and most. A relay takes what a host can do for 1.7 times
 # what is asked of it (decisions/slow_start.py, CAPACITY_OVER_DEMAND), which clients that come again raise by up to a half: at less, a relay that keeps to
 # its budget may push; at much more, nobody can.
-ABLE = (2.5, 4.0)
+CAPACITY_RANGE = (2.5, 4.0)
 # share of outages that take all hosts of a destination: "mostly", says the brief
-WHOLE = 0.6
+WHOLE_OUTAGE_SHARE = 0.6
 # such a one lasts long enough to leave them cold, and ends while much comes
-EARLY_MS, LONG_MS = 3000, (5000, 7000)
+OUTAGE_START_MS, OUTAGE_SPAN_MS = 3000, (5000, 7000)
 OUTAGES = ("silent", "erring", "refusing", "dead", "vanished")
 # kind -> (weight, least and most span in ms, least and most worth)
 KINDS = {
@@ -60,7 +60,7 @@
     "lost_answers": (2, (500, 5000), (0.1, 0.9)),
     "move": (1, (0, 0), (0, 0)),
 }
-ASKED_FOR = {  # likewise, drawn only where weights name them
+OPTIONAL_KINDS = {  # likewise, drawn only where weights name them
     "upgrade": (3, (0, 0), (0, 0)),
     "upgrade_new_dies": (3, (0, 0), (1, 250)),
     "upgrade_old_dies": (3, (0, 0), (1, 250)),
@@ -71,11 +71,11 @@
     "zone_dark": (2, (500, 6000), (0, 1)),
     "lower": (3, (2000, 8000), (0.2, 0.9)),
 }
-ALL = {**KINDS, **ASKED_FOR}
+ALL_KINDS = {**KINDS, **OPTIONAL_KINDS}
 EFFECTS = ("idempotent", "deduplicated", "at_most_once")
 
 
-def customer(seed: int) -> dict:
+def customer_settings(seed: int) -> dict:
     """Settings that another customer might have, as fields of a scenario: its classes, what fits into a call, what is held."""
     chance, rows = Random(f"customer {seed}"), []
     for n in range(chance.randint(1, 6)):
@@ -127,7 +127,7 @@
             ordered=chance.random() < 0.7,
         ),
     ]
-    drawn = customer(seed) if customers else {}
+    drawn = customer_settings(seed) if customers else {}
     if customers:
         categories = drawn["categories"]
         window = max([c.window_ms for c in categories]) or window
@@ -169,26 +169,29 @@
     ]
     more = 1 + sum(s.span_ms * (s.by - 1) for s in surges) / span_ms
     for endpoint in endpoints:
-        if chance.random() < TIGHT:
-            tighten(chance, endpoint, sum(p.rate for p in programs) * more / len(places))
+        if chance.random() < LOW_CAPACITY_SHARE:
+            limit_capacity(chance, endpoint, sum(p.rate for p in programs) * more / len(places))
     strangers = StrangersPlan(
         copies=chance.choice([0.0, 0.05, 0.2]), rate=chance.choice([0.0, 0.0, 10.0])
     )
     hosts = [f"h{e.destination}-{n}" for e in endpoints for n in range(e.hosts)]
     who = {"relay": [f"relay{n}" for n in range(relays)], "host": hosts, "platform": ["platform"]}
     faults = []
-    weighed = {
-        kind: row[0] * (weights or {}).get(kind, int(kind in KINDS)) for kind, row in ALL.items()
+    weight_by_kind = {
+        kind: row[0] * (weights or {}).get(kind, int(kind in KINDS))
+        for kind, row in ALL_KINDS.items()
     }
     for _ in range(chance.randrange(1, 9)):
-        kind = chance.choices(list(weighed), list(weighed.values()))[0]
-        fault = one(chance, kind, chance.choice(who[FAULTS[kind]]), chance.randrange(500, span_ms))
-        faults += [fault, *edges(chance, fault, window, categories, who)]
-        if kind in OUTAGES and chance.random() < WHOLE:
+        kind = chance.choices(list(weight_by_kind), list(weight_by_kind.values()))[0]
+        fault = make_fault(
+            chance, kind, chance.choice(who[FAULTS[kind]]), chance.randrange(500, span_ms)
+        )
+        faults += [fault, *boundary_faults(chance, fault, window, categories, who)]
+        if kind in OUTAGES and chance.random() < WHOLE_OUTAGE_SHARE:
             place = fault.who.split("-")[0]
             fault.at_ms, fault.span_ms = (
-                fault.at_ms % EARLY_MS,
-                max(fault.span_ms, chance.randrange(*LONG_MS)),
+                fault.at_ms % OUTAGE_START_MS,
+                max(fault.span_ms, chance.randrange(*OUTAGE_SPAN_MS)),
             )
             faults += [
                 replace(fault, who=host)
@@ -216,15 +219,15 @@
     return check(replace(day, **drawn))
 
 
-def tighten(chance, endpoint: EndpointPlan, load: float) -> None:
+def limit_capacity(chance, endpoint: EndpointPlan, load: float) -> None:
     """Fits its slots to `load`, callbacks a second for all its hosts."""
     endpoint.span_ms, endpoint.rate, endpoint.queue = chance.choice([60.0, 120.0]), 0, 32
-    able = chance.uniform(*ABLE) * load / endpoint.hosts
-    endpoint.slots = max(1, round(able * endpoint.span_ms / 1000))
+    capacity = chance.uniform(*CAPACITY_RANGE) * load / endpoint.hosts
+    endpoint.slots = max(1, round(capacity * endpoint.span_ms / 1000))
 
 
-def one(chance, kind: str, who: str, at_ms: int) -> Fault:
-    _, (least, most), (low, high) = ALL[kind]
+def make_fault(chance, kind: str, who: str, at_ms: int) -> Fault:
+    _, (least, most), (low, high) = ALL_KINDS[kind]
     worth = chance.uniform(low, high)
     return Fault(
         kind,
@@ -235,7 +238,7 @@
     )
 
 
-def edges(chance, fault: Fault, window: int, categories, who) -> list[Fault]:
+def boundary_faults(chance, fault: Fault, window: int, categories, who) -> list[Fault]:
     """Half of the time: the same fault's span, or one more fault beside it, within 50 ms of a bound."""
     if chance.random() < 0.5:
         return []
@@ -293,7 +296,7 @@
         return [
             Fault(
                 "kill_step",
-                fault.at_ms + AGAIN_MS + chance.randrange(1, 60),
+                fault.at_ms + RESTART_MS + chance.randrange(1, 60),
                 fault.who,
                 0,
                 float(chance.randrange(1, 60)),
--- a/molehill/emulator/mutations.py
+++ b/molehill/emulator/mutations.py
@@ -32,7 +32,7 @@
     return carry
 
 
-def without_record(kind):
+def skip_record(kind):
     def change(before):
         def log(self, what, body=b"", **fields):
             if what != kind:
@@ -43,7 +43,7 @@
     return change
 
 
-def not_loaded(kind):
+def skip_loading(kind):
     return (
         lambda before: lambda self, record, body: None
         if record["k"] == kind
@@ -51,7 +51,7 @@
     )
 
 
-def settings_with(**changes):
+def change_settings(**changes):
     """The module's settings read wrong: `changes` by a category's field."""
 
     def change(before):
@@ -67,7 +67,7 @@
     return change
 
 
-def routes_apart(before):
+def route_per_host(before):
     def read(given, prefix=""):
         made = before(given, prefix)
         made.kinds = [interface.HostKind(True, kind.callbacks_per_call) for kind in made.kinds]
@@ -76,7 +76,7 @@
     return read
 
 
-def tail_accepted(before):
+def keep_torn_tail(before):
     def replay(self, load):
         truncate, self.disk.truncate = self.disk.truncate, lambda *_: None
         try:
@@ -89,7 +89,7 @@
     return replay
 
 
-def kept_after_time_out(before):
+def reuse_after_timeout(before):
     """The connection of a call that timed out is used again: its late answer is taken for the next call's."""
 
     def useless(self, call, stream, start, end, came):
@@ -106,12 +106,12 @@
     return useless
 
 
-def with_the_last(before):
+def last_deadline(before):
     """A call goes on until the last of its members' times, and what comes by then is taken for each one's delivery."""
     return lambda call: max(member.deadline for member in call.callbacks)
 
 
-def never_resent(before):
+def send_once(before):
     def send(self, batch, until):
         try:
             before(self, batch, until)
@@ -121,7 +121,7 @@
     return send
 
 
-def written_once(before):
+def write_once(before):
     def write(self, fd, data):
         try:
             self.disk.write(fd, data)
@@ -132,13 +132,13 @@
     return write
 
 
-def rewritten_without_owed(before):
+def omit_attempted(before):
     return lambda self: (
         row for row in before(self) if row[0].get("k") != "taken" or row[0].get("launches", 0) == 0
     )
 
 
-def late_by(span):
+def delay_deadline(span):
     def change(before):
         def fresh(self, headers, body):
             made = before(self, headers, body)
@@ -150,7 +150,7 @@
     return change
 
 
-def full_at_once(before):
+def skip_slow_start(before):
     def health(self, endpoint, good, sent, result):
         before(self, endpoint, good, sent, result)
         if endpoint.state == SLOW_START:
@@ -159,7 +159,7 @@
     return health
 
 
-def logged_as_asked_for(before):
+def log_attempt_early(before):
     """A launch is in the log before its connection is up."""
 
     def go(self, out):
@@ -170,7 +170,7 @@
     return go
 
 
-def taken_for_new(before):
+def offer_as_new(before):
     """What a restart takes up is told to the module as if it came just now."""
 
     def hand_over(self, c):
@@ -180,7 +180,7 @@
     return hand_over
 
 
-def accepts_without_a_wait(before):
+def retry_accept_at_once(before):
     """An error of accept(2) is met by the next try at once."""
 
     def accept(self):
@@ -202,7 +202,7 @@
     return accept
 
 
-def wall_time(before):
+def use_wall_clock(before):
     def find(lines, machine):
         return log_clock.LogClock(
             machine.wall_clock() - machine.clock(), log_clock.EpochSource.NEW_LOG
@@ -211,7 +211,7 @@
     return find
 
 
-def end_taken_for_whole(before):
+def skip_tail_repair(before):
     def repair_end(self):
         self.tail_bytes = 0
         return True
@@ -222,14 +222,14 @@
 # name -> (where it is put, the attribute, what makes the wrong one of the right one), or several such for one mistake
 MUTATIONS = {
     "log written on behind a torn record": (
-        (Store, "repair_end", end_taken_for_whole),
+        (Store, "repair_end", skip_tail_repair),
         (store, "find_next_record", lambda before: lambda data, start: len(data)),
     ),
-    "log's times are wall time": (log_clock, "find_clock", wall_time),
+    "log's times are wall time": (log_clock, "find_clock", use_wall_clock),
     "accept goes on without a wait": (
         clients.Clients,
         "accept_connections",
-        accepts_without_a_wait,
+        retry_accept_at_once,
     ),
     "a start opens its log once": (
         startup.Startup,
@@ -237,37 +237,39 @@
         lambda before: lambda self: (self.open_log(), True)[1],
     ),
     "answered before it is logged": (Engine, "execute_effects", answer_before_log),
-    "launch not logged": (Core, "_log", without_record("launch")),
-    "end not logged": (Core, "_log", without_record("end")),
-    "notice that is owed not taken up": (Core, "load", not_loaded("owed")),
-    "torn tail accepted": (Store, "replay", tail_accepted),
-    "short write taken for whole": (Store, "_write", written_once),
-    "rewrite forgets what was launched": (Core, "snapshot", rewritten_without_owed),
+    "launch not logged": (Core, "_log", skip_record("launch")),
+    "end not logged": (Core, "_log", skip_record("end")),
+    "notice that is owed not taken up": (Core, "load", skip_loading("owed")),
+    "torn tail accepted": (Store, "replay", keep_torn_tail),
+    "short write taken for whole": (Store, "_write", write_once),
+    "rewrite forgets what was launched": (Core, "snapshot", omit_attempted),
     "ticket window off by a tenth": (
         config,
         "parse_settings",
-        settings_with(deduplication_window=lambda w: w * 11 // 10),
+        change_settings(deduplication_window=lambda w: w * 11 // 10),
     ),
     "ticket window off by a quarter": (
         config,
         "parse_settings",
-        settings_with(deduplication_window=lambda w: w * 5 // 4),
+        change_settings(deduplication_window=lambda w: w * 5 // 4),
     ),
     "ticket's zone not heeded": (
         config,
         "parse_settings",
-        settings_with(deduplicated_everywhere=lambda _: True, deduplicated_in_zone=lambda _: False),
+        change_settings(
+            deduplicated_everywhere=lambda _: True, deduplicated_in_zone=lambda _: False
+        ),
     ),
     "exclusive taken for rerunnable": (
         config,
         "parse_settings",
-        settings_with(
+        change_settings(
             semantics=lambda e: interface.DeliverySemantics.IDEMPOTENT
             if e is interface.DeliverySemantics.AT_MOST_ONCE
             else e
         ),
     ),
-    "order of keys not kept": (config, "parse_settings", settings_with(ordered=lambda _: False)),
+    "order of keys not kept": (config, "parse_settings", change_settings(ordered=lambda _: False)),
     "key's rest forgotten": (
         Lifecycle,
         "start_key_cooldown",
@@ -289,12 +291,12 @@
         lambda before: {**before, "leaving": interface.Condition.UP},
     ),
     "told wait not read": (hosts, "retry_after", lambda before: lambda head: 0),
-    "wait heeded by host, not by destination": (config, "parse_settings", routes_apart),
-    "late answer ends another callback": (hosts.Hosts, "_end_without_answer", kept_after_time_out),
-    "a call goes on after the time of one in it": (hosts, "call_deadline", with_the_last),
-    "notice sent once only": (notices.Notices, "_send_batch", never_resent),
-    "deadline read a second late": (clients.Clients, "fresh", late_by(config.SECOND)),
-    "returning host fed without a budget": (EndpointHealth, "update_state", full_at_once),
+    "wait heeded by host, not by destination": (config, "parse_settings", route_per_host),
+    "late answer ends another callback": (hosts.Hosts, "_end_without_answer", reuse_after_timeout),
+    "a call goes on after the time of one in it": (hosts, "call_deadline", last_deadline),
+    "notice sent once only": (notices.Notices, "_send_batch", send_once),
+    "deadline read a second late": (clients.Clients, "fresh", delay_deadline(config.SECOND)),
+    "returning host fed without a budget": (EndpointHealth, "update_state", skip_slow_start),
     "streams never forgotten": (
         hosts.Hosts,
         "_run_call",
@@ -314,8 +316,8 @@
         "_retry_now",
         lambda before: lambda self: None,
     ),
-    "launch logged while its connection comes up": (Core, "_start_call", logged_as_asked_for),
-    "what a restart finds taken for new": (Core, "_offer_to_module", taken_for_new),
+    "launch logged while its connection comes up": (Core, "_start_call", log_attempt_early),
+    "what a restart finds taken for new": (Core, "_offer_to_module", offer_as_new),
     "notice right behind its call": (FinalNotices, "not_before", lambda before: lambda *_: 0),
     "calls of a killed process forgotten": (
         FinalNotices,
--- a/molehill/emulator/network.py
+++ b/molehill/emulator/network.py
@@ -13,12 +13,12 @@
 from molehill.config import SECOND
 
 # bytes under way and unread in one direction: as kernels keep, in the small
-BUFFER = 64 * 1024
-OVERTAKEN = 50_000_000  # ns by which a datagram that others overtake is late at most
+BUFFER_BYTES = 64 * 1024
+MAX_REORDER_DELAY = 50_000_000  # ns by which a datagram that others overtake is late at most
 # datagrams that a socket takes in unread, about what kernels do with small ones
-LETTERS = 256
+DATAGRAM_QUEUE_LIMIT = 256
 # when a connection that had no answer is asked for again, as kernels do
-RETRY = (SECOND, 3 * SECOND, 7 * SECOND)
+CONNECT_RETRY_TIMES = (SECOND, 3 * SECOND, 7 * SECOND)
 ERRORS = {
     errno.ECONNREFUSED: ConnectionRefusedError,
     errno.ECONNRESET: ConnectionResetError,
@@ -32,7 +32,7 @@
     def __init__(self, world, name: str):
         self.world, self.name, self.cut, self.boots = world, name, False, 0
         self.listeners, self.socks = {}, set()
-        self.knocked = set()  # names of machines that found nobody here
+        self.failed_connectors = set()  # names of machines that found nobody here
         self.make_sock = Sock  # what a connection that comes here becomes
 
     def vanish(self) -> None:
@@ -52,14 +52,14 @@
         self.socks.clear()
 
 
-class Way:
+class NetworkPath:
     """What one sends to another: bytes wait until `until`, take `delay` more, and no more than `rate` a second get through (0: all).
 
     Of datagrams those behind `until` are lost, or come at its end where it is a burst's; shares of the others as the names say.
     """
 
     def __init__(self, world):
-        self.world, self.until, self.delay, self.rate, self.free, self.touched = (
+        self.world, self.until, self.delay, self.rate, self.free_at, self.affected_count = (
             world,
             0,
             0,
@@ -67,25 +67,39 @@
             0,
             0,
         )
-        self.bursts, self.lose, self.repeat, self.reorder, self.spoil_bytes = 0, 0.0, 0.0, 0.0, 0.0
+        self.burst_until, self.lose, self.repeat, self.reorder, self.spoil_bytes = (
+            0,
+            0.0,
+            0.0,
+            0.0,
+            0.0,
+        )
 
-    def letters(self, when: int, data: bytes) -> list:
+    def datagram_copies(self, when: int, data: bytes) -> list:
         """(when it arrives, bytes) of each copy of a datagram that would arrive at `when`."""
         chance, now = self.world.chance, self.world.now
-        if now < self.until and now >= self.bursts or self.lose and chance.random() < self.lose:
-            self.touched += 1
+        if (
+            now < self.until
+            and now >= self.burst_until
+            or self.lose
+            and chance.random() < self.lose
+        ):
+            self.affected_count += 1
             return []
         if self.spoil_bytes and data and chance.random() < self.spoil_bytes:
             place = chance.randrange(len(data))
             data = (
                 data[:place] + bytes([data[place] ^ chance.randrange(1, 256)]) + data[place + 1 :]
             )
-            self.touched += 1
+            self.affected_count += 1
         times = 1
         if self.repeat and chance.random() < self.repeat:
-            self.touched, times = self.touched + 1, 2
+            self.affected_count, times = self.affected_count + 1, 2
         if self.reorder and chance.random() < self.reorder:
-            self.touched, when = self.touched + 1, when + chance.randrange(1, OVERTAKEN)
+            self.affected_count, when = (
+                self.affected_count + 1,
+                when + chance.randrange(1, MAX_REORDER_DELAY),
+            )
         return [(self.arrival(when, len(data)), data)] * times
 
     def arrival(self, when: int, size: int) -> int:
@@ -94,48 +108,55 @@
         if self.delay:
             later = max(later, when + int(self.delay * (0.5 + self.world.chance.random())))
         if self.rate:
-            self.free = max(self.free, self.world.now) + size * SECOND // self.rate
-            later = max(later, self.free)
-        self.touched += later > when
+            self.free_at = max(self.free_at, self.world.now) + size * SECOND // self.rate
+            later = max(later, self.free_at)
+        self.affected_count += later > when
         return later
 
 
 class Network:
-    def __init__(self, world, latency=(200_000, 800_000), pieces: float = 0.02):
-        """`latency`: least and most nanoseconds one way, drawn for each connection; `pieces`: share of reads and writes
+    def __init__(self, world, latency=(200_000, 800_000), partial_share: float = 0.02):
+        """`latency`: least and most nanoseconds one way, drawn for each connection; `partial_share`: share of reads and writes
         that the kernel takes or gives only a part of."""
-        self.world, self.latency, self.pieces, self.numbers = world, latency, pieces, 0
+        self.world, self.latency, self.partial_share, self.numbers = (
+            world,
+            latency,
+            partial_share,
+            0,
+        )
         self.machines: dict[str, Machine] = {}
-        self.where: dict[tuple, Machine] = {}  # address -> the machine that has it
+        self.machines_by_address: dict[tuple, Machine] = {}  # address -> the machine that has it
         # address -> the datagram socket that has it
-        self.boxes: dict[tuple, Datagrams] = {}
+        self.datagram_sockets: dict[tuple, Datagrams] = {}
         # (from, to) -> what troubles that way; absent: nothing ever did
-        self.ways: dict[tuple, Way] = {}
+        self.paths: dict[tuple, NetworkPath] = {}
 
     def machine(self, name: str) -> Machine:
         return self.machines.setdefault(name, Machine(self.world, name))
 
-    def delivers(self, address, data: bytes, sender) -> None:
-        box = self.boxes.get(address)
+    def deliver_datagram(self, address, data: bytes, sender) -> None:
+        box = self.datagram_sockets.get(address)
         if box is not None and not box.machine.cut:
-            box.landed(data, sender)
+            box.receive_datagram(data, sender)
 
-    def way(self, a: str, b: str) -> Way:
-        return self.ways.setdefault((a, b), Way(self.world))
+    def path_between(self, a: str, b: str) -> NetworkPath:
+        return self.paths.setdefault((a, b), NetworkPath(self.world))
 
     def number(self) -> int:
         self.numbers += 1
         return self.numbers
 
-    def seen_by(self, relay: str, address, party: str):
+    def address_seen_by(self, relay: str, address, party: str):
         """What that relay is told for the address of a party: here, what it is."""
         return address
 
-    def some(self, count: int) -> int:
+    def partial_count(self, count: int) -> int:
         """How much of `count` bytes one call moves."""
         chance = self.world.chance
         return (
-            chance.randrange(1, count + 1) if count > 1 and chance.random() < self.pieces else count
+            chance.randrange(1, count + 1)
+            if count > 1 and chance.random() < self.partial_share
+            else count
         )
 
     def connect(self, machine, address, came=None, ended=None, broke=None, up=None) -> "Sock":
@@ -154,7 +175,7 @@
         return listener
 
 
-class Base:
+class SocketBase:
     """What sockets and listeners share."""
 
     def __init__(self, network, machine):
@@ -180,7 +201,7 @@
         self.machine.socks.discard(self)
 
 
-class Listener(Base):
+class Listener(SocketBase):
     def __init__(self, network, machine):
         super().__init__(network, machine)
         self.address, self.backlog, self.waiting, self.accepted = None, 0, [], None
@@ -194,9 +215,9 @@
     def listen(self, backlog: int) -> None:
         self.backlog = backlog
         self.machine.listeners[self.address] = self
-        self.network.where[self.address] = self.machine
+        self.network.machines_by_address[self.address] = self.machine
 
-    def offered(self, sock) -> bool:
+    def add_connection(self, sock) -> bool:
         """A connection that came; False if there is no room for it."""
         if len(self.waiting) >= self.backlog:
             return False
@@ -225,7 +246,7 @@
             self.forget()
 
 
-class Datagrams(Base):
+class Datagrams(SocketBase):
     """A datagram socket. A relay's side has the calls of `socket.socket`; a party's is told came(box, data, address)."""
 
     def __init__(self, network, machine):
@@ -235,8 +256,8 @@
 
     def bind(self, address) -> None:
         self.address = tuple(address)
-        self.network.boxes[self.address] = self
-        self.network.where.setdefault(self.address, self.machine)
+        self.network.datagram_sockets[self.address] = self
+        self.network.machines_by_address.setdefault(self.address, self.machine)
 
     def getsockname(self):
         return self.address
@@ -244,22 +265,26 @@
     def sendto(self, data, address) -> int:
         """Danger: a datagram that finds nobody, or no room, is gone, and its sender hears nothing of it."""
         network, address = self.network, tuple(address)
-        there = network.boxes.get(address)
+        there = network.datagram_sockets.get(address)
         due = self.world.now + self.world.chance.randrange(*network.latency)
-        way = (
-            network.ways.get((self.machine.name, there.machine.name)) if there is not None else None
+        path = (
+            network.paths.get((self.machine.name, there.machine.name))
+            if there is not None
+            else None
         )
         if not self.machine.cut:
             for when, copy in (
-                way.letters(due, bytes(data)) if way is not None else ((due, bytes(data)),)
+                path.datagram_copies(due, bytes(data))
+                if path is not None
+                else ((due, bytes(data)),)
             ):
-                self.world.at(when, network.delivers, address, copy, self.address)
+                self.world.at(when, network.deliver_datagram, address, copy, self.address)
         return len(data)
 
-    def landed(self, data: bytes, sender) -> None:
+    def receive_datagram(self, data: bytes, sender) -> None:
         if self.came is not None:
             self.came(self, data, sender)
-        elif len(self.inbox) < LETTERS:
+        elif len(self.inbox) < DATAGRAM_QUEUE_LIMIT:
             self.inbox.append((data, sender))
             self.changed()
         else:
@@ -276,8 +301,8 @@
 
     def close(self) -> None:
         if not self.closed:
-            if self.network.boxes.get(self.address) is self:
-                del self.network.boxes[self.address]
+            if self.network.datagram_sockets.get(self.address) is self:
+                del self.network.datagram_sockets[self.address]
             self.forget()
 
     reset = close
@@ -286,13 +311,13 @@
 FRESH, DIALLING, OPEN, FAILED = "fresh", "dialling", "open", "failed"
 
 
-class Sock(Base):
+class Sock(SocketBase):
     """One side of a connection. A party's side is driven by callbacks: up(sock), came(sock, data, sent_at), ended(sock),
     broke(sock); sent_at is when the other side wrote the first of these bytes."""
 
     def __init__(self, network, machine):
         super().__init__(network, machine)
-        self.state, self.peer, self.boots, self.error, self.eof, self.shut = (
+        self.state, self.peer, self.boots, self.error, self.eof, self.is_shut_down = (
             FRESH,
             None,
             machine.boots,
@@ -300,9 +325,9 @@
             False,
             False,
         )
-        self.inbox, self.flying, self.delay, self.last = bytearray(), 0, 0, 0
+        self.inbox, self.bytes_in_flight, self.delay, self.last_arrival = bytearray(), 0, 0, 0
         # a party's: what waits for room; closes after it
-        self.outbox, self.ending = bytearray(), False
+        self.outbox, self.close_when_sent = bytearray(), False
         self.on_came = self.on_ended = self.on_broke = self.on_up = None
         machine.socks.add(self)
 
@@ -319,49 +344,54 @@
 
     def dial(self, address) -> None:
         self.state, self.delay = DIALLING, self.world.chance.randrange(*self.network.latency)
-        self._ask(tuple(address), 0)
+        self._send_connect(tuple(address), 0)
 
-    def _ask(self, address, tries: int) -> None:
-        there = self.network.where.get(address)
-        way = self.network.ways.get((self.machine.name, there.name)) if there is not None else None
-        if way is not None and way.until > self.world.now:
-            way.touched += 1  # the wish is lost; the kernel repeats it
+    def _send_connect(self, address, tries: int) -> None:
+        there = self.network.machines_by_address.get(address)
+        path = (
+            self.network.paths.get((self.machine.name, there.name)) if there is not None else None
+        )
+        if path is not None and path.until > self.world.now:
+            path.affected_count += 1  # the wish is lost; the kernel repeats it
         elif not self.closed and not self.machine.cut:
-            self.world.after(self.delay, self._asked, address)
-        if tries < len(RETRY):
+            self.world.after(self.delay, self._receive_connect, address)
+        if tries < len(CONNECT_RETRY_TIMES):
             self.world.after(
-                RETRY[tries] - (RETRY[tries - 1] if tries else 0), self._again, address, tries + 1
+                CONNECT_RETRY_TIMES[tries] - (CONNECT_RETRY_TIMES[tries - 1] if tries else 0),
+                self._retry_connect,
+                address,
+                tries + 1,
             )
 
-    def _again(self, address, tries: int) -> None:
+    def _retry_connect(self, address, tries: int) -> None:
         if self.state is DIALLING and not self.closed:
-            self._ask(address, tries)
+            self._send_connect(address, tries)
 
-    def _asked(self, address) -> None:
+    def _receive_connect(self, address) -> None:
         """The far machine has the wish for a connection."""
-        machine = self.network.where.get(address)
+        machine = self.network.machines_by_address.get(address)
         if self.closed or self.state is not DIALLING or self.peer is not None:
             return
         if machine is not None and (machine.cut or address not in machine.listeners):
-            machine.knocked.add(self.machine.name)
+            machine.failed_connectors.add(self.machine.name)
         if machine is not None and machine.cut:
             return
         listener = machine.listeners.get(address) if machine is not None else None
         if listener is None:
-            self.world.after(self.delay, self._failed, errno.ECONNREFUSED)
+            self.world.after(self.delay, self._connect_failed, errno.ECONNREFUSED)
             return
         other = machine.make_sock(self.network, machine)
         other.state, other.delay, other.peer = OPEN, self.delay, self
         self.peer = other
-        if listener.offered(other):
-            way = self.network.ways.get((machine.name, self.machine.name))
+        if listener.add_connection(other):
+            path = self.network.paths.get((machine.name, self.machine.name))
             due = self.world.now + self.delay
-            self.world.at(way.arrival(due, 0) if way is not None else due, self._up)
+            self.world.at(path.arrival(due, 0) if path is not None else due, self._connected)
         else:
             other.forget()  # no room in its backlog: it says nothing
             self.peer = None
 
-    def _up(self) -> None:
+    def _connected(self) -> None:
         if self.closed or self.state is not DIALLING or self.machine.cut:
             return
         self.state = OPEN
@@ -369,7 +399,7 @@
         if self.on_up is not None:
             self.on_up(self)
 
-    def _failed(self, code: int) -> None:
+    def _connect_failed(self, code: int) -> None:
         if not self.closed and not self.machine.cut:
             self.state, self.error = FAILED, code
             self._broken()
@@ -382,15 +412,19 @@
     # Bytes
 
     def room(self) -> int:
-        return BUFFER - self.flying - len(self.peer.inbox) if self.peer is not None else 0
+        return (
+            BUFFER_BYTES - self.bytes_in_flight - len(self.peer.inbox)
+            if self.peer is not None
+            else 0
+        )
 
     def send(self, data) -> int:
         self._check(writing=True)
         count = min(len(data), self.room())
         if count <= 0:
             raise BlockingIOError(errno.EAGAIN, "no room")
-        count = self.network.some(count)
-        self._fly(bytes(data[:count]))
+        count = self.network.partial_count(count)
+        self._transmit(bytes(data[:count]))
         return count
 
     def _check(self, writing=False) -> None:
@@ -400,51 +434,53 @@
             raise ERRORS.get(self.error, OSError)(self.error, "broken")
         if self.state is not OPEN:
             raise OSError(errno.ENOTCONN, "not up")
-        if writing and self.shut:
+        if writing and self.is_shut_down:
             raise BrokenPipeError(errno.EPIPE, "ended")
 
-    def _fly(self, data: bytes) -> None:
-        self.flying += len(data)
-        self._order(self.peer._land, data, self.world.now, size=len(data))
+    def _transmit(self, data: bytes) -> None:
+        self.bytes_in_flight += len(data)
+        self._send_in_order(self.peer._receive, data, self.world.now, size=len(data))
 
-    def _order(self, work, *args, size: int = 0) -> None:
+    def _send_in_order(self, work, *args, size: int = 0) -> None:
         """Things of one direction arrive in the order in which they were sent."""
         due = self.world.now + self.delay
-        way = self.network.ways.get((self.machine.name, self.peer.machine.name))
-        self.last = max(self.last, way.arrival(due, size) if way is not None else due)
-        self.world.at(self.last, work, *args)
+        path = self.network.paths.get((self.machine.name, self.peer.machine.name))
+        self.last_arrival = max(
+            self.last_arrival, path.arrival(due, size) if path is not None else due
+        )
+        self.world.at(self.last_arrival, work, *args)
 
-    def _gone(self) -> bool:
+    def _is_gone(self) -> bool:
         """Whether this side can hear nothing of what comes, and if its machine knows nothing of it, says so."""
         if self.machine.cut:
             return True
         if self.closed or self.boots != self.machine.boots:
             if self.peer is not None and not self.peer.closed:
-                self.world.after(self.delay, self.peer._reset)
+                self.world.after(self.delay, self.peer._receive_reset)
             return True
         return False
 
-    def _land(self, data: bytes, sent_at: int) -> None:
+    def _receive(self, data: bytes, sent_at: int) -> None:
         if self.machine.cut:  # never acknowledged: it stays in the sender's buffer
             return
-        self.peer.flying -= len(data)
-        if self._gone():
+        self.peer.bytes_in_flight -= len(data)
+        if self._is_gone():
             return
         if self.on_came is not None:
             self.on_came(self, data, sent_at)
-            self.world.after(self.delay, self.peer._drained)
+            self.world.after(self.delay, self.peer._peer_has_read)
             return
         self.inbox += data
         self.changed()
 
-    def _ends(self) -> None:
-        if not self._gone():
+    def _receive_end(self) -> None:
+        if not self._is_gone():
             self.eof = True
             self.changed()
             if self.on_ended is not None:
                 self.on_ended(self)
 
-    def _reset(self) -> None:
+    def _receive_reset(self) -> None:
         if (
             not self.closed
             and not self.machine.cut
@@ -459,21 +495,23 @@
         if self.on_broke is not None:
             self.on_broke(self)
 
-    def _drained(self) -> None:
+    def _peer_has_read(self) -> None:
         if self.closed:
             return
         self.changed()
-        self._pump()
+        self._flush()
 
     def recv(self, count: int, flags: int = 0) -> bytes:
         if self.inbox:
             peek = flags & socket.MSG_PEEK
             data = bytes(
-                self.inbox[: count if peek else self.network.some(min(count, len(self.inbox)))]
+                self.inbox[
+                    : count if peek else self.network.partial_count(min(count, len(self.inbox)))
+                ]
             )
             if not peek:
                 del self.inbox[: len(data)]
-                self.world.after(self.delay, self.peer._drained)
+                self.world.after(self.delay, self.peer._peer_has_read)
             return data
         self._check()
         if self.eof:
@@ -499,24 +537,24 @@
     def shutdown(self, how) -> None:
         self._check(writing=True)
         if how in (socket.SHUT_WR, socket.SHUT_RDWR):
-            self.shut = True
-            self._order(self.peer._ends)
+            self.is_shut_down = True
+            self._send_in_order(self.peer._receive_end)
 
     def close(self) -> None:
         if self.closed:
             return
         if self.state is OPEN and not self.error and not self.machine.cut:
             if self.inbox:  # as kernels do: what was not read is told to the sender
-                self._order(self.peer._reset)
-            elif not self.shut:
-                self._order(self.peer._ends)
+                self._send_in_order(self.peer._receive_reset)
+            elif not self.is_shut_down:
+                self._send_in_order(self.peer._receive_end)
         self.forget()
 
     def reset(self) -> None:
         """Breaks off at once; what is under way to the other side may still arrive there first."""
         if not self.closed:
             if self.peer is not None and not self.machine.cut and not self.error:
-                self._order(self.peer._reset)
+                self._send_in_order(self.peer._receive_reset)
             self.forget()
 
     # A party's manners
@@ -524,14 +562,14 @@
     def put(self, data: bytes, then_close: bool = False) -> None:
         """Sends all of it, as room comes; then ends the connection if asked to."""
         self.outbox += data
-        self.ending = self.ending or then_close
-        self._pump()
+        self.close_when_sent = self.close_when_sent or then_close
+        self._flush()
 
-    def _pump(self) -> None:
-        if self.closed or self.error or self.state is not OPEN or self.shut:
+    def _flush(self) -> None:
+        if self.closed or self.error or self.state is not OPEN or self.is_shut_down:
             return
         while self.outbox and (count := min(len(self.outbox), self.room())) > 0:
-            self._fly(bytes(self.outbox[:count]))
+            self._transmit(bytes(self.outbox[:count]))
             del self.outbox[:count]
-        if self.ending and not self.outbox:
+        if self.close_when_sent and not self.outbox:
             self.close()
--- a/molehill/emulator/node.py
+++ b/molehill/emulator/node.py
@@ -1,42 +1,63 @@
 """One relay's machine: its disk, its place in the network, and its processes: started, told to end, killed, frozen.
 
-The relay's own code runs unchanged in greenlets (`life.py`), one a process; a poller gives the clock back to the world. A killed
+The relay's own code runs unchanged in greenlets (`process.py`), one a process; a poller gives the clock back to the world. A killed
 one is never resumed: whatever it was in the middle of stays undone. Two at once are an upgrade; from outside they are one relay.
 """
 
 from molehill.config import MS
 from molehill.emulator.disk import Disk
-from molehill.emulator.life import UP, Descriptor, Life, Lock, Meeting, TaskSock
+from molehill.emulator.process import (
+    UP,
+    Descriptor,
+    EmulatedProcess,
+    HandoverListener,
+    Lock,
+    RelaySocket,
+)
 
 SIGTERM, SIGHUP = 15, 1
-SOON = 5 * MS  # by then a process has read what another said before its end
+HANDOVER_READ_SPAN = 5 * MS  # by then a process has read what another said before its end
 
 
 class Node:
-    """`given()`: the relay's configuration as of now, in the file's form. `disk_most`: bytes of the folder that lasts."""
-
-    def __init__(self, world, network, name: str, given, disk_most: int):
-        self.world, self.network, self.name, self.given = world, network, name, given
-        self.place, self.disk, self.lines = network.machine(name), Disk(world, disk_most), []
+    """`given()`: the relay's configuration as of now, in the file's form. `disk_capacity`: bytes of the folder that lasts."""
+
+    def __init__(self, world, network, name: str, read_settings, disk_capacity: int):
+        self.world, self.network, self.name, self.read_settings = (
+            world,
+            network,
+            name,
+            read_settings,
+        )
+        self.machine, self.disk, self.log_lines = (
+            network.machine(name),
+            Disk(world, disk_capacity),
+            [],
+        )
         self.disk.step, self.disk.lock = self.step, self.lock
         # lives: those that are up
-        self.life, self.lives, self.owner, self.acting = 0, [], None, None
-        self.most_fds, self.fds_share, self.frozen_until, self.graves = 1 << 30, 1.0, 0, []
-        self.locked, self.meeting = Lock(), Meeting()
+        self.start_count, self.processes, self.owner, self.running = 0, [], None, None
+        self.descriptor_limit, self.descriptor_share, self.frozen_until, self.ended_tasks = (
+            1 << 30,
+            1.0,
+            0,
+            [],
+        )
+        self.folder_lock, self.handover_listener = Lock(), HandoverListener()
         self.wall_step = 0  # nanoseconds by which its wall clock is off
         # each is told (node) when the relay is gone, with the disk as it was left
         self.on_kill = []
-        self.on_ready = []  # each is told (node, life) when a process can serve
-        self.place.make_sock = TaskSock
+        self.on_ready = []  # each is told (node, process) when a process can serve
+        self.machine.make_sock = RelaySocket
 
     @property
     def process(self):
-        return self.owner and self.owner.process
+        return self.owner and self.owner.relay_process
 
     @property
     def up(self) -> bool:
         """Whether a process is there that serves, or that will without being started anew."""
-        return any(life.serving or life.process is None for life in self.lives)
+        return any(process.serving or process.relay_process is None for process in self.processes)
 
     # Its machine
 
@@ -48,39 +69,43 @@
         return self.world.now + self.wall_step
 
     def step(self, what: str, size: int = 0) -> int:
-        return self.acting.step(what, size) if self.acting is not None else size
+        return self.running.step(what, size) if self.running is not None else size
 
     def lock(self, folder: str):
         self.step("lock")
-        if self.locked.holders:
+        if self.folder_lock.holders:
             return None
-        self.locked = Lock()
-        return Descriptor(self.acting, self.locked).fd
+        self.folder_lock = Lock()
+        return Descriptor(self.running, self.folder_lock).fd
 
     # Its processes
 
-    def start(self, kill_in=None, hang_at=None) -> Life:
+    def start(self, kill_in=None, hang_at=None) -> EmulatedProcess:
         """One more process: the relay's, or the next one beside that; to be killed in so many steps, or to hang."""
-        self.life += 1
-        life = Life(self, self.life)
-        life.kill_at, life.hang_at = kill_in, hang_at
-        self.lives.append(life)
+        self.start_count += 1
+        process = EmulatedProcess(self, self.start_count)
+        process.kill_at, process.hang_at = kill_in, hang_at
+        self.processes.append(process)
         if self.owner is None or self.owner.state is not UP:
-            self.takes_over(life, warm=False)
-        life.resume(life.main)
-        return life
-
-    def takes_over(self, life, warm: bool) -> None:
-        """It has the folder; `warm`: with all that the one before it had, so that for others nothing has changed."""
-        if life is not self.owner:
-            self.owner = life
-            self.world.tell(self.name, "took over" if warm else "started", life=life.number)
-            life.warm = warm
-
-    def ready(self, life) -> None:
-        self.world.tell(self.name, "serves on" if life.warm else "ready", life=life.number)
-        for told in self.on_ready:
-            told(self, life)
+            self.take_over(process, by_handover=False)
+        process.resume(process.main)
+        return process
+
+    def take_over(self, process, by_handover: bool) -> None:
+        """It has the folder; `by_handover`: with all that the one before it had, so that for others nothing has changed."""
+        if process is not self.owner:
+            self.owner = process
+            self.world.tell(
+                self.name, "took over" if by_handover else "started", life=process.number
+            )
+            process.by_handover = by_handover
+
+    def ready(self, process) -> None:
+        self.world.tell(
+            self.name, "serves on" if process.by_handover else "ready", life=process.number
+        )
+        for callback in self.on_ready:
+            callback(self, process)
 
     def signal(self, number: int) -> None:
         if self.owner is not None and self.owner.state is UP:
@@ -90,16 +115,20 @@
     def freeze(self, span: int) -> None:
         self.frozen_until = self.world.now + span
         self.world.tell(self.name, "frozen", until=self.frozen_until)
-        for life in self.lives:
-            if life.parked is not None:
-                life.wake_at(self.frozen_until)
+        for process in self.processes:
+            if process.waiting_task is not None:
+                process.wake_at(self.frozen_until)
 
-    def hangs(self, life, until: int) -> None:
+    def report_hang(self, process, until: int) -> None:
         """A process stands still; the relay with it, if that is the one that serves or has all from the one that did."""
-        if life is self.owner or self.owner.process is not None and self.owner.process.handed_over:
+        if (
+            process is self.owner
+            or self.owner.relay_process is not None
+            and self.owner.relay_process.handed_over
+        ):
             self.world.tell(self.name, "frozen", until=until)
-        elif self.world.now + SOON < until:
-            self.world.after(SOON, self.hangs, life, until)
+        elif self.world.now + HANDOVER_READ_SPAN < until:
+            self.world.after(HANDOVER_READ_SPAN, self.report_hang, process, until)
 
     def kill(self) -> None:
         """The process that serves."""
@@ -110,31 +139,31 @@
         if self.owner is not None:
             self.owner.kill_at = self.owner.steps + steps
 
-    def lost(self, life) -> None:
+    def process_ended(self, process) -> None:
         """A process is gone; the relay with it, unless another has taken over."""
-        self.lives.remove(life)
-        if life is self.owner:
-            self.gone(life)
-        elif self.owner.process is not None and self.owner.state is UP:
-            self.world.tell(self.name, "one of two gone", life=life.number)
-            self.world.after(SOON, self.orphaned)
+        self.processes.remove(process)
+        if process is self.owner:
+            self.announce_gone(process)
+        elif self.owner.relay_process is not None and self.owner.state is UP:
+            self.world.tell(self.name, "one of two gone", life=process.number)
+            self.world.after(HANDOVER_READ_SPAN, self.check_orphan)
         else:
-            self.tell_gone()
+            self.notify_gone()
 
-    def orphaned(self) -> None:
+    def check_orphan(self) -> None:
         """Gone after all, if the process that is left had given all to the one that died."""
-        if self.owner.state is UP and self.owner.process.handed_over and not self.up:
-            self.gone(self.owner)
+        if self.owner.state is UP and self.owner.relay_process.handed_over and not self.up:
+            self.announce_gone(self.owner)
 
-    def gone(self, life) -> None:
+    def announce_gone(self, process) -> None:
         self.world.tell(
-            self.name, life.state if life.state is not UP else "killed", life=life.number
+            self.name, process.state if process.state is not UP else "killed", life=process.number
         )
-        self.tell_gone()
+        self.notify_gone()
 
-    def tell_gone(self) -> None:
-        for told in self.on_kill:
-            told(self)
+    def notify_gone(self) -> None:
+        for callback in self.on_kill:
+            callback(self)
 
     def sizes(self) -> dict[str, int]:
         return self.owner.sizes()
--- a/molehill/emulator/parties/endpoint.py
+++ b/molehill/emulator/parties/endpoint.py
@@ -7,7 +7,7 @@
 from collections import deque
 
 from molehill.config import MS, SECOND
-from molehill.emulator.parties.wire import Messages, answer
+from molehill.emulator.parties.wire import MessageReader, answer
 
 # mode -> (its calls count as failing for those who saw them, what it does with a call)
 MODES = {
@@ -23,10 +23,10 @@
 }
 # The brief's figures for rule 4: how long it is cold after an outage; the share of its calls a second that it can do when
 # cold; it falls over if asked for more than PUSHED times what it can do, for so long.
-RAMP, COLD, PUSHED, FALL_SPAN = 10 * SECOND, 0.17, 2.0, 1500 * MS
+SLOW_START_SPAN, COLD_SHARE, OVERLOAD_FACTOR, OVERLOAD_SPAN = 10 * SECOND, 0.17, 2.0, 1500 * MS
 # What it bears beyond that, for chance: so many times the root of the calls that it can do in that time, and so many more calls. Where
 # that is few, the other pair.
-FEW = 30
+FEW_CALLS = 30
 SLACK, SLACK_OF_FEW = (2.0, 2), (3.0, 3)
 # an outage is one that lasted so long: the shortest of the bench's that leave one cold
 OUTAGE = 5 * SECOND
@@ -34,7 +34,7 @@
 
 def slow_start_budget(calls: float) -> float:
     """Calls that a returning host bears in FALL_SPAN, `calls` being what it can do in it by the settings."""
-    roots, more = SLACK_OF_FEW if calls < FEW else SLACK
+    roots, more = SLACK_OF_FEW if calls < FEW_CALLS else SLACK
     return calls + roots * calls**0.5 + more
 
 
@@ -49,68 +49,78 @@
             address,
             plan,
         )
-        self.place, self.mode, self.slowness, self.opens = network.machine(name), "well", 1, 0
-        self.busy, self.queue, self.serial, self.draining = 0, deque(), 0, False
-        self.recent, self.down_since, self.up_since, self.seen_failing = deque(), None, None, set()
+        self.machine, self.mode, self.slowness, self.reopens_at = (
+            network.machine(name),
+            "well",
+            1,
+            0,
+        )
+        self.busy_slots, self.queue, self.serial, self.draining = 0, deque(), 0, False
+        self.admitted_at, self.down_since, self.up_since, self.seen_failing = (
+            deque(),
+            None,
+            None,
+            set(),
+        )
         # spends: calls that are refused use its limit up too
-        self.begun, self.spends, self.usual = deque(), False, plan.rate
+        self.recent_calls, self.counts_refusals, self.usual_rate = deque(), False, plan.rate
         self.conns, self.listener = {}, None
         # greatest share of its budget that it was given after a return
-        self.most_fed = 0.0
+        self.max_budget_share = 0.0
         self.open()
 
     def open(self) -> None:
-        self.listener = self.network.serve(self.place, self.address, self.accepted)
+        self.listener = self.network.serve(self.machine, self.address, self.accepted)
 
     def accepted(self, sock) -> None:
-        self.conns[sock] = Messages()
-        sock.listen_to(self.came, self.left, self.left)
+        self.conns[sock] = MessageReader()
+        sock.listen_to(self.receive, self.close_connection, self.close_connection)
 
-    def left(self, sock) -> None:
+    def close_connection(self, sock) -> None:
         self.conns.pop(sock, None)
         self.world.tell(self.name, "call connection over", conn=sock.number)
         sock.close()
 
-    def became(self, mode: str, slowness: int = 1, opens: int = 0) -> None:
-        """A change of mode, by the fault script; `opens`: when one that is shut turns nobody away any more."""
-        self.opens = opens
+    def set_mode(self, mode: str, slowness: int = 1, reopens_at: int = 0) -> None:
+        """A change of mode, by the fault script; `reopens_at`: when one that is shut turns nobody away any more."""
+        self.reopens_at = reopens_at
         before, self.mode, self.slowness = self.mode, mode, slowness
         self.world.tell(self.name, "mode", before=before, after=mode)
         now = self.world.now
         if MODES[mode][0] and not MODES[before][0]:
             self.down_since, self.up_since = now, None
-            self.place.knocked.clear()
+            self.machine.failed_connectors.clear()
         if MODES[before][0] and not MODES[mode][0]:
             cold = self.down_since is not None and now - self.down_since >= OUTAGE
             self.up_since, self.down_since = now if cold else None, None
             if not cold:
                 self.seen_failing.clear()
         if mode == "dead" and before != "dead":
-            self.place.die()
-            self.conns, self.busy, self.queue = {}, 0, deque()
+            self.machine.die()
+            self.conns, self.busy_slots, self.queue = {}, 0, deque()
         elif mode == "vanished":
-            self.place.vanish()
+            self.machine.vanish()
         if before == "dead" and mode != "dead":
             self.open()
         elif before == "vanished" and mode != "vanished":
-            self.place.back()
-            self.conns, self.busy, self.queue = {}, 0, deque()
+            self.machine.back()
+            self.conns, self.busy_slots, self.queue = {}, 0, deque()
 
-    def forgets(self, relay: str) -> None:
+    def forget_relay(self, relay: str) -> None:
         """One that was started anew has seen nothing of what it failed at before."""
         self.seen_failing.discard(relay)
-        self.place.knocked.discard(relay)
+        self.machine.failed_connectors.discard(relay)
 
     # A call
 
-    def came(self, sock, data: bytes, sent_at: int) -> None:
+    def receive(self, sock, data: bytes, sent_at: int) -> None:
         reader = self.conns.get(sock)
         if reader is None:
             return
         for first, headers, body, since in reader.feed(data, sent_at):
-            self.called(sock, first.split(" ")[1], headers, body, since)
+            self.receive_call(sock, first.split(" ")[1], headers, body, since)
 
-    def called(self, sock, target, headers, body, since) -> None:
+    def receive_call(self, sock, target, headers, body, since) -> None:
         if target == "/events/bundle":
             ids = []
             while body:
@@ -132,48 +142,50 @@
             ids=[i for i, _, _ in ids],
             since=since,
             marks=[m for _, m, _ in ids],
-            bodies=[hash_of(b) for _, _, b in ids],
+            bodies=[body_prefix(b) for _, _, b in ids],
             host=self.name,
             destination=self.plan.destination,
             zone=self.plan.zone,
             patience=headers.get("req-deadline-ms"),
         )
-        self.pushed(relay)
+        self.check_overload(relay)
         failing, what = MODES[self.mode]
         if failing:
             self.seen_failing.add(relay)
         call = (sock, number, ids, target == "/events/bundle")
         if what == "error":
-            self.later(call, 5 * MS, 500)
+            self.answer_later(call, 5 * MS, 500)
         elif what == "refuse":
-            self.later(call, 1 * MS, 503)
+            self.answer_later(call, 1 * MS, 503)
         elif what == "shut":
-            self.later(call, MS, 429, max(MS, self.opens - self.world.now))
+            self.answer_later(call, MS, 429, max(MS, self.reopens_at - self.world.now))
         elif what == "noise":
-            self.world.after(5 * MS, self.noise, sock, number)
+            self.world.after(5 * MS, self.send_noise, sock, number)
         elif what == "serve":
-            self.take(call)
+            self.admit_call(call)
 
-    def pushed(self, relay: str) -> None:
+    def check_overload(self, relay: str) -> None:
         """Rule 4's other side: a cold one that is asked for too much by those who saw it fail falls over."""
         now = self.world.now
-        self.begun.append((now, relay))
-        while self.begun and self.begun[0][0] < now - FALL_SPAN:
-            self.begun.popleft()
+        self.recent_calls.append((now, relay))
+        while self.recent_calls and self.recent_calls[0][0] < now - OVERLOAD_SPAN:
+            self.recent_calls.popleft()
         if self.up_since is None or MODES[self.mode][0]:
             return
-        along = (now - self.up_since) / RAMP
+        along = (now - self.up_since) / SLOW_START_SPAN
         if along >= 1:
             self.up_since = None
             self.seen_failing.clear()
             return
-        able = self.able() * (COLD + (1 - COLD) * along)
-        counted = [who for at, who in self.begun if at >= self.up_since]
-        bears = PUSHED * able * FALL_SPAN / SECOND
+        able = self.capacity() * (COLD_SHARE + (1 - COLD_SHARE) * along)
+        counted = [who for at, who in self.recent_calls if at >= self.up_since]
+        bears = OVERLOAD_FACTOR * able * OVERLOAD_SPAN / SECOND
         budget = slow_start_budget(bears)
-        known = sum(who in self.seen_failing or who in self.place.knocked for who in counted)
-        if len(counted) > self.most_fed * budget:
-            self.most_fed = len(counted) / budget
+        known = sum(
+            who in self.seen_failing or who in self.machine.failed_connectors for who in counted
+        )
+        if len(counted) > self.max_budget_share * budget:
+            self.max_budget_share = len(counted) / budget
             self.world.tell(
                 self.name, "slow start", calls=len(counted), known=known, budget=round(budget, 3)
             )
@@ -181,69 +193,70 @@
             self.world.tell(
                 self.name, "fell over", calls=len(counted), known=known, able=round(able, 3)
             )
-            self.became("erring")
+            self.set_mode("erring")
 
-    def able(self) -> float:
+    def capacity(self) -> float:
         """Calls a second that it can do; what a told rate turns away costs it nothing."""
         return self.plan.slots * SECOND / max(1, self.plan.span)
 
-    def lowers(self, share: float) -> None:
+    def lower_limit(self, share: float) -> None:
         """Its limit becomes that share of its usual one, or of what it can do if it tells none; refusals spend it. 1.0: as usual."""
         lower = share < 1.0
-        self.plan.rate, self.spends = (
-            max(1, int((self.usual or self.able()) * share)) if lower else self.usual,
+        self.plan.rate, self.counts_refusals = (
+            max(1, int((self.usual_rate or self.capacity()) * share)) if lower else self.usual_rate,
             lower,
         )
 
-    def take(self, call) -> None:
+    def admit_call(self, call) -> None:
         now = self.world.now
         if self.draining:
-            return self.later(call, MS, 503)
+            return self.answer_later(call, MS, 503)
         if self.plan.rate:
-            while self.recent and self.recent[0] <= now - SECOND:
-                self.recent.popleft()
-            if len(self.recent) >= self.plan.rate:
-                wait = self.recent[0] + SECOND - now
-                if self.spends:
-                    self.recent.append(now)
-                return self.later(call, MS, 429, max(MS, wait))
-            self.recent.append(now)
-        if self.busy < self.plan.slots:
-            self.work(call)
+            while self.admitted_at and self.admitted_at[0] <= now - SECOND:
+                self.admitted_at.popleft()
+            if len(self.admitted_at) >= self.plan.rate:
+                wait = self.admitted_at[0] + SECOND - now
+                if self.counts_refusals:
+                    self.admitted_at.append(now)
+                return self.answer_later(call, MS, 429, max(MS, wait))
+            self.admitted_at.append(now)
+        if self.busy_slots < self.plan.slots:
+            self.start_call(call)
         elif len(self.queue) < self.plan.queue:
             self.queue.append(call)
         else:
-            self.later(call, MS, 503)
+            self.answer_later(call, MS, 503)
 
-    def work(self, call) -> None:
-        self.busy += 1
+    def start_call(self, call) -> None:
+        self.busy_slots += 1
         span = int(self.plan.span * self.slowness * (0.5 + self.world.chance.random()))
-        self.world.after(span, self.done, call, self.place.boots)
+        self.world.after(span, self.finish_call, call, self.machine.boots)
 
-    def done(self, call, boots: int) -> None:
-        if boots != self.place.boots:
+    def finish_call(self, call, boots: int) -> None:
+        if boots != self.machine.boots:
             return
-        self.busy = max(0, self.busy - 1)
+        self.busy_slots = max(0, self.busy_slots - 1)
         if MODES[self.mode][1] == "serve":
-            self.say(call, 200)
+            self.send_answer(call, 200)
         elif MODES[self.mode][1] == "error":
-            self.say(call, 500)
-        while self.queue and self.busy < self.plan.slots:
+            self.send_answer(call, 500)
+        while self.queue and self.busy_slots < self.plan.slots:
             waiting = self.queue.popleft()
             if waiting[0] in self.conns:
-                self.work(waiting)
+                self.start_call(waiting)
 
-    def later(self, call, span: int, status: int, wait: int = 0) -> None:
-        self.world.after(span, self.say, call, status, wait)
+    def answer_later(self, call, span: int, status: int, wait: int = 0) -> None:
+        self.world.after(span, self.send_answer, call, status, wait)
 
-    def say(self, call, status: int, wait: int = 0) -> None:
+    def send_answer(self, call, status: int, wait: int = 0) -> None:
         sock, number, ids, bundle = call
         if sock.closed or sock not in self.conns or sock.error:
             return
         headers = [("Retry-After", f"{wait / SECOND:.3f}")] if wait else []
         if self.plan.rate:
             left = max(
-                0.0, 1 - sum(at > self.world.now - SECOND for at in self.recent) / self.plan.rate
+                0.0,
+                1 - sum(at > self.world.now - SECOND for at in self.admitted_at) / self.plan.rate,
             )
             headers.append(("Srv-Load", f"x0={left:.2f},x1={self.plan.rate}"))
         body = b""
@@ -261,12 +274,12 @@
         )
         sock.put(answer(status, headers, body))
 
-    def noise(self, sock, number) -> None:
+    def send_noise(self, sock, number) -> None:
         if sock in self.conns and not sock.closed:
             self.world.tell(self.name, "call spoilt", call=number)
             sock.put(b"\x00\x7fnoise, no status line\r\n\r\n")
 
 
-def hash_of(body: bytes) -> str:
+def body_prefix(body: bytes) -> str:
     """A short name for a body in events: the stand-ins' bodies are short and each is its own."""
     return body[:40].decode("latin-1")
--- a/molehill/emulator/parties/platform.py
+++ b/molehill/emulator/parties/platform.py
@@ -7,32 +7,32 @@
 import json
 
 from molehill.config import MS
-from molehill.emulator.parties.wire import Messages, answer
+from molehill.emulator.parties.wire import MessageReader, answer
 
 
 class Platform:
     def __init__(self, world, network, address):
         self.world, self.network, self.address = world, network, address
-        self.place, self.conns, self.watches = network.machine("platform"), {}, {}
+        self.machine, self.conns, self.watches = network.machine("platform"), {}, {}
         # changed: host -> version of its last change
         self.version, self.rows, self.changed = 1, {}, {}
         self.lag, self.down, self.lose_answers = 0, False, 0.0
-        self.listener = network.serve(self.place, address, self.accepted)
+        self.listener = network.serve(self.machine, address, self.accepted)
 
     # the old address accepts nothing new, and ends what is open after so long
-    CLOSES = 1500 * MS
+    OLD_ADDRESS_SPAN = 1500 * MS
 
     def move(self) -> None:
         """Serves at another address from now on."""
         self.listener.close()
-        self.world.after(self.CLOSES, self._close, list(self.conns))
+        self.world.after(self.OLD_ADDRESS_SPAN, self._close, list(self.conns))
         self.address = (self.address[0], self.address[1] + 1)
-        self.listener = self.network.serve(self.place, self.address, self.accepted)
+        self.listener = self.network.serve(self.machine, self.address, self.accepted)
 
     def _close(self, socks) -> None:
         for sock in socks:
             if sock in self.conns:
-                self.left(sock)
+                self.close_connection(sock)
 
     # What the fault script and the run do
 
@@ -45,7 +45,7 @@
         self.rows[host.name] = self.row(host, status)
         self.changed[host.name] = self.version
         for sock in list(self.watches):
-            self._news(sock)
+            self._answer_watch(sock)
 
     def row(self, host, status: str) -> dict:
         return {
@@ -60,19 +60,24 @@
         }
 
     def known(self, relay: str) -> dict:
-        return {"index": self.version, "snapshot": True, "endpoints": self.told(relay, self.rows)}
+        return {
+            "index": self.version,
+            "snapshot": True,
+            "endpoints": self.rows_for(relay, self.rows),
+        }
 
-    def told(self, relay: str, names) -> list[dict]:
+    def rows_for(self, relay: str, names) -> list[dict]:
         """Rows of the list as that relay is told them."""
         return [
             {
                 **self.rows[name],
-                "address": "%s:%d" % self.network.seen_by(relay, self.rows[name]["address"], name),
+                "address": "%s:%d"
+                % self.network.address_seen_by(relay, self.rows[name]["address"], name),
             }
             for name in names
         ]
 
-    def goes(self, down: bool) -> None:
+    def set_down(self, down: bool) -> None:
         self.down = down
         if down:
             for sock in list(self.watches):
@@ -83,10 +88,10 @@
     # Calls
 
     def accepted(self, sock) -> None:
-        self.conns[sock] = Messages()
-        sock.listen_to(self.came, self.left, self.left)
+        self.conns[sock] = MessageReader()
+        sock.listen_to(self.receive, self.close_connection, self.close_connection)
 
-    def left(self, sock) -> None:
+    def close_connection(self, sock) -> None:
         self.conns.pop(sock, None)
         self._end_watch(sock)
         sock.close()
@@ -94,7 +99,7 @@
     def _end_watch(self, sock) -> None:
         self.watches.pop(sock, None)
 
-    def came(self, sock, data: bytes, sent_at: int) -> None:
+    def receive(self, sock, data: bytes, sent_at: int) -> None:
         for first, _, body, _ in self.conns[sock].feed(data, sent_at) if sock in self.conns else ():
             method, target, _ = first.split(" ")
             if target == "/v2/finals":
@@ -102,7 +107,7 @@
             elif self.down:
                 sock.put(answer(503))
             else:
-                self.listed(sock, target)
+                self.receive_list_request(sock, target)
 
     def notices(self, sock, body: bytes) -> None:
         relay = sock.peer.machine.name
@@ -124,29 +129,31 @@
             self.world.tell("platform", "notice answered", id=json.loads(line)["ref"])
         sock.put(answer(204))
 
-    def listed(self, sock, target: str) -> None:
+    def receive_list_request(self, sock, target: str) -> None:
         query = dict(part.split("=") for part in target.partition("?")[2].split("&") if part)
         if "from" not in query or int(query["from"]) > self.version:
-            return self._tell(sock, list(self.rows), True)
+            return self._send_list(sock, list(self.rows), True)
         self.watches[sock] = int(query["from"])
-        self.world.after(int(query["hold_ms"]) * MS, self._over, sock, self.watches[sock])
-        self._news(sock)
+        self.world.after(int(query["hold_ms"]) * MS, self._end_hold, sock, self.watches[sock])
+        self._answer_watch(sock)
 
-    def _over(self, sock, since: int) -> None:
+    def _end_hold(self, sock, since: int) -> None:
         if self.watches.get(sock) == since and not sock.closed:
             self._end_watch(sock)
-            self._tell(sock, [], False)
+            self._send_list(sock, [], False)
 
-    def _news(self, sock) -> None:
+    def _answer_watch(self, sock) -> None:
         names = [name for name, version in self.changed.items() if version > self.watches[sock]]
         if names:
             self._end_watch(sock)
-            self._tell(sock, names, False)
+            self._send_list(sock, names, False)
 
-    def _tell(self, sock, names, whole: bool) -> None:
+    def _send_list(self, sock, names, is_snapshot: bool) -> None:
         relay = sock.peer.machine.name
-        rows = self.told(relay, names)
+        rows = self.rows_for(relay, names)
         for row in rows:
             self.world.tell("platform", "told", relay=relay, host=row["name"], status=row["status"])
-        text = json.dumps({"index": self.version, "snapshot": whole, "endpoints": rows}).encode()
+        text = json.dumps(
+            {"index": self.version, "snapshot": is_snapshot, "endpoints": rows}
+        ).encode()
         sock.put(answer(200, body=text))
--- a/molehill/emulator/parties/programs.py
+++ b/molehill/emulator/parties/programs.py
@@ -6,16 +6,16 @@
 from collections import deque
 
 from molehill.config import MS, SECOND
-from molehill.emulator.parties.wire import Messages, request
+from molehill.emulator.parties.wire import MessageReader, request
 
 # a client waits so long for its answer: the protocol's figure
-PATIENCE = 400 * MS
-NOTICED = 2 * SECOND  # the front deals out a dead relay for so long
-KEEPS = 20 * SECOND  # an idle connection of a program that goes on
-ONCE_KEEPS = 60 * SECOND  # one that was asked on once, by those who ask once and stay
+ANSWER_TIMEOUT = 400 * MS
+FAILURE_DETECTION_DELAY = 2 * SECOND  # the front deals out a dead relay for so long
+IDLE_TIMEOUT = 20 * SECOND  # an idle connection of a program that goes on
+SINGLE_USE_IDLE_TIMEOUT = 60 * SECOND  # one that was asked on once, by those who ask once and stay
 
 
-class Front:
+class RelayPool:
     """Which relays are dealt out, and how many connections to each its clients may hold together."""
 
     def __init__(self, world, allowance: int):
@@ -25,10 +25,10 @@
         if relay not in self.alive:
             self.alive = sorted([*self.alive, relay])
 
-    def down(self, relay: str, life_over) -> None:
-        self.world.after(NOTICED, self._noticed, relay, life_over)
+    def down(self, relay: str, still_down) -> None:
+        self.world.after(FAILURE_DETECTION_DELAY, self._remove_if_down, relay, still_down)
 
-    def _noticed(self, relay: str, still_down) -> None:
+    def _remove_if_down(self, relay: str, still_down) -> None:
         if still_down() and relay in self.alive:
             self.alive.remove(relay)
 
@@ -38,7 +38,7 @@
     def may_open(self, relay: str) -> bool:
         return self.open.get(relay, 0) < self.allowance
 
-    def count(self, relay: str, by: int) -> None:
+    def adjust_open(self, relay: str, by: int) -> None:
         self.open[relay] = self.open.get(relay, 0) + by
 
 
@@ -55,7 +55,7 @@
         "body",
         "tries",
         "born",
-        "again",
+        "resent_id",
         "relay",
     )
 
@@ -69,38 +69,38 @@
         )
         self.mark, self.body, self.tries, self.born = mark, body, 0, born
         # the id that was sent once more after a kept connection's end; where to
-        self.again, self.relay = None, None
+        self.resent_id, self.relay = None, None
 
 
-class Conn:
+class ClientConnection:
     def __init__(self, program, relay: str, address):
         self.program, self.relay, self.reader, self.ask, self.serial = (
             program,
             relay,
-            Messages(),
+            MessageReader(),
             None,
             0,
         )
-        program.front.count(relay, 1)
+        program.relay_pool.adjust_open(relay, 1)
         self.sock = program.network.connect(
-            program.place, address, self.came, self.over, self.over, self.up
+            program.machine, address, self.receive, self.over, self.over, self.up
         )
 
     def up(self, sock) -> None:
         if self.ask is not None:
             self.program.write(self)
 
-    def came(self, sock, data: bytes, sent_at: int) -> None:
+    def receive(self, sock, data: bytes, sent_at: int) -> None:
         for first, headers, _, _ in self.reader.feed(data, sent_at):
             self.program.answered(self, int(first.split(" ")[1]), headers)
 
     def over(self, sock) -> None:
         self.drop()
-        self.program.broke(self)
+        self.program.connection_broken(self)
 
     def drop(self) -> None:
         if self.relay is not None:
-            self.program.front.count(self.relay, -1)
+            self.program.relay_pool.adjust_open(self.relay, -1)
             self.program.forget(self)
             self.relay = None
             self.sock.close()
@@ -110,16 +110,16 @@
     """`plan`: rate (a second), until (ns), destinations, categories (rows: name, span, ordered, deduplicated), keys, tries,
     heeds (advice), once (asks once on a connection and keeps it), leaves (share given up before the answer)."""
 
-    def __init__(self, world, network, front, name: str, addresses, plan):
-        self.world, self.network, self.front, self.name, self.addresses, self.plan = (
+    def __init__(self, world, network, relay_pool, name: str, addresses, plan):
+        self.world, self.network, self.relay_pool, self.name, self.addresses, self.plan = (
             world,
             network,
-            front,
+            relay_pool,
             name,
             addresses,
             plan,
         )
-        self.place, self.idle, self.serial = (
+        self.machine, self.idle, self.serial = (
             network.machine(name),
             {relay: [] for relay in addresses},
             0,
@@ -127,15 +127,15 @@
         # key -> its messages, the first being handed in
         self.waiting: dict[str, deque] = {}
         # told (id, relay, message) of each request, as a stranger may be
-        self.overheard = None
-        world.after(world.chance.randrange(SECOND), self.next)
+        self.request_observer = None
+        world.after(world.chance.randrange(SECOND), self.submit_next)
 
-    def next(self) -> None:
+    def submit_next(self) -> None:
         now, chance, plan = self.world.now, self.world.chance, self.plan
         if now >= plan.until:
             return
         surge = next((by for at, span, by in plan.surges if at <= now < at + span), 1.0)
-        self.world.after(int(chance.expovariate(plan.rate * surge) * SECOND) + 1, self.next)
+        self.world.after(int(chance.expovariate(plan.rate * surge) * SECOND) + 1, self.submit_next)
         self.serial += 1
         number = f"{self.name}-{self.serial}"
         row = chance.choice(plan.categories)
@@ -152,59 +152,59 @@
         )
         self.world.tell(self.name, "wants", message=number, category=row.name)
         if key is None:
-            self.hand_in(message)
+            self.submit(message)
             return
         row = self.waiting.setdefault(key, deque())
         row.append(message)
         if len(row) == 1:
-            self.hand_in(message)
+            self.submit(message)
 
-    def settled(self, message) -> None:
+    def finish(self, message) -> None:
         """Handed in, or given up: the key's next may go."""
         row = self.waiting.get(message.key)
         if row and row[0] is message:
             row.popleft()
             if row:
-                self.hand_in(row[0])
+                self.submit(row[0])
             else:
                 del self.waiting[message.key]
 
-    def again(self, message, wait: int) -> None:
+    def retry(self, message, wait: int) -> None:
         """After a refusal or no answer: once more later, while there is time and tries are left."""
         at = self.world.now + (wait or 50 * MS + self.world.chance.randrange(200 * MS))
         if message.tries >= self.plan.tries or at >= message.due:
             self.world.tell(self.name, "gave up", message=message.number)
-            self.settled(message)
+            self.finish(message)
         else:
-            self.world.at(at, self.hand_in, message)
+            self.world.at(at, self.submit, message)
 
-    def hand_in(self, message) -> None:
-        same, now = message.again, self.world.now
+    def submit(self, message) -> None:
+        same, now = message.resent_id, self.world.now
         same = same if same == f"{message.number}.{message.tries}" else None
         message.tries += same is None
-        relay = message.relay if same else self.front.pick()
+        relay = message.relay if same else self.relay_pool.pick()
         if relay is None or now >= message.due:
-            return self.again(message, 0)
+            return self.retry(message, 0)
         conn = None
         while self.idle[relay] and conn is None and not self.plan.once and not same:
             conn = self.idle[relay].pop()
             conn = None if conn.sock.closed or conn.sock.error else conn
         if conn is None:
-            if not self.front.may_open(relay):
+            if not self.relay_pool.may_open(relay):
                 self.world.tell(
                     self.name, "no connection left", message=message.number, relay=relay
                 )
-                return self.again(message, 0)
-            conn = Conn(self, relay, self.addresses[relay])
+                return self.retry(message, 0)
+            conn = ClientConnection(self, relay, self.addresses[relay])
         message.relay = relay
         conn.ask, conn.serial = (
             [message, f"{message.number}.{message.tries}", False],
             conn.serial + 1,
         )
-        self.world.after(PATIENCE, self.patience, conn, conn.serial)
+        self.world.after(ANSWER_TIMEOUT, self.time_out, conn, conn.serial)
         # before it goes: on a new connection, a stranger may be there first
-        if self.overheard is not None:
-            self.overheard(conn.ask[1], relay, message)
+        if self.request_observer is not None:
+            self.request_observer(conn.ask[1], relay, message)
         if conn.sock.state == "open":
             self.write(conn)
 
@@ -238,19 +238,21 @@
         )
         conn.sock.put(request("POST", "/api", headers, message.body))
         if self.plan.leaves and self.world.chance.random() < self.plan.leaves:
-            self.world.after(self.world.chance.randrange(20 * MS), self.leave, conn, conn.serial)
+            self.world.after(
+                self.world.chance.randrange(20 * MS), self.leave_early, conn, conn.serial
+            )
 
-    def leave(self, conn, serial: int) -> None:
+    def leave_early(self, conn, serial: int) -> None:
         if conn.serial == serial and conn.ask is not None:
-            self.patience(conn, serial)
+            self.time_out(conn, serial)
 
-    def patience(self, conn, serial: int) -> None:
+    def time_out(self, conn, serial: int) -> None:
         if conn.serial != serial or conn.ask is None:
             return
         (message, ident, _), conn.ask = conn.ask, None
         self.world.tell(self.name, "left", id=ident)
         conn.drop()
-        self.again(message, 0)
+        self.retry(message, 0)
 
     def answered(self, conn, status: int, headers) -> None:
         if conn.ask is None:
@@ -262,30 +264,35 @@
             conn.drop()
         else:
             self.idle[conn.relay].append(conn)
-            self.world.after(ONCE_KEEPS if self.plan.once else KEEPS, self.old, conn, conn.serial)
+            self.world.after(
+                SINGLE_USE_IDLE_TIMEOUT if self.plan.once else IDLE_TIMEOUT,
+                self.close_if_idle,
+                conn,
+                conn.serial,
+            )
         if status in (200, 202):
-            self.settled(message)
+            self.finish(message)
         elif status in (429, 503):
-            self.again(message, wait if self.plan.heeds else 0)
+            self.retry(message, wait if self.plan.heeds else 0)
         else:
             self.world.tell(self.name, "gave up", message=message.number)
-            self.settled(message)
+            self.finish(message)
 
-    def old(self, conn, serial: int) -> None:
+    def close_if_idle(self, conn, serial: int) -> None:
         if conn.ask is None and conn.serial == serial:
             conn.drop()
 
-    def broke(self, conn) -> None:
+    def connection_broken(self, conn) -> None:
         if conn.ask is None:
             return
         (message, ident, written), conn.ask = conn.ask, None
         self.world.tell(self.name, "broken off", id=ident)
-        if conn.serial > 1 and written and message.again != ident:
+        if conn.serial > 1 and written and message.resent_id != ident:
             # it crossed the end of a kept connection: once more, under the same id
-            message.again = ident
-            self.hand_in(message)
+            message.resent_id = ident
+            self.submit(message)
         else:
-            self.again(message, 0)
+            self.retry(message, 0)
 
     def forget(self, conn) -> None:
         if conn in self.idle[conn.relay]:
--- a/molehill/emulator/parties/strangers.py
+++ b/molehill/emulator/parties/strangers.py
@@ -1,7 +1,7 @@
 """Those who misbehave at the relay's door: ids not theirs, silence, half requests, noise. None of it may harm the others."""
 
 from molehill.config import MS, SECOND
-from molehill.emulator.parties.wire import Messages, request
+from molehill.emulator.parties.wire import MessageReader, request
 
 NOISE = (
     b"\x00\x01\x02\r\n\r\n",
@@ -12,7 +12,7 @@
     b"POST /api HTTP/1.1\r\n" + b"X: y\r\n" * 4000,
 )
 
-LONGEST = 3 * SECOND  # of a copy's time, which is what its request says
+MAX_COPY_SPAN = 3 * SECOND  # of a copy's time, which is what its request says
 
 
 class Strangers:
@@ -20,11 +20,11 @@
 
     def __init__(self, world, network, addresses, plan):
         self.world, self.network, self.addresses, self.plan = world, network, addresses, plan
-        self.place, self.heard = network.machine("strangers"), {}
+        self.machine, self.heard = network.machine("strangers"), {}
         if plan.rate:
-            world.after(world.chance.randrange(SECOND), self.next)
+            world.after(world.chance.randrange(SECOND), self.connect_next)
 
-    def overhear(self, ident: str, relay: str, message) -> None:
+    def observe_request(self, ident: str, relay: str, message) -> None:
         """The same id with another's key and words, at once: by its own connection it may be there before the true one."""
         if self.world.now >= self.plan.until or self.world.chance.random() >= self.plan.copies:
             return
@@ -32,18 +32,24 @@
             ("Req-Id", ident),
             ("Req-Kind", message.category.name),
             ("X-Consignee", f"dest={message.destination}"),
-            ("Req-Deadline-Ms", str(min(message.category.span, LONGEST) // MS)),
+            ("Req-Deadline-Ms", str(min(message.category.span, MAX_COPY_SPAN) // MS)),
             ("Cookie", "subject=strange"),
         ]
         if message.mark is not None:
             headers.append(("Idempotency-Key", f"strange-{ident}"))
         body = b"strange " + ident.encode()
         self.world.after(
-            self.world.chance.randrange(MS // 2), self.copy, ident, relay, message, headers, body
+            self.world.chance.randrange(MS // 2),
+            self.send_copy,
+            ident,
+            relay,
+            message,
+            headers,
+            body,
         )
 
-    def copy(self, ident, relay, message, headers, body) -> None:
-        reader, span = Messages(), message.category.span
+    def send_copy(self, ident, relay, message, headers, body) -> None:
+        reader, span = MessageReader(), message.category.span
 
         def came(sock, data, sent_at):
             for first, _, _, _ in reader.feed(data, sent_at):
@@ -67,21 +73,21 @@
                 category=message.category.name,
                 key="strange" if message.category.ordered else None,
                 destination=message.destination,
-                due=self.world.now + min(span, LONGEST),
+                due=self.world.now + min(span, MAX_COPY_SPAN),
                 mark=None,
                 body=body[:40].decode(),
             )
             sock.put(request("POST", "/api", headers, body))
 
         self.network.connect(
-            self.place, self.addresses[relay], came, lambda s: s.close(), lambda s: s.close(), up
+            self.machine, self.addresses[relay], came, lambda s: s.close(), lambda s: s.close(), up
         )
 
-    def next(self) -> None:
+    def connect_next(self) -> None:
         chance = self.world.chance
         if self.world.now >= self.plan.until:
             return
-        self.world.after(int(chance.expovariate(self.plan.rate) * SECOND) + 1, self.next)
+        self.world.after(int(chance.expovariate(self.plan.rate) * SECOND) + 1, self.connect_next)
         relay = chance.choice(sorted(self.addresses))
         what = chance.choice(("silent", "half", "noise"))
         data = {
@@ -90,7 +96,7 @@
             "noise": chance.choice(NOISE),
         }[what]
         self.network.connect(
-            self.place,
+            self.machine,
             self.addresses[relay],
             lambda *_: None,
             lambda s: s.close(),
--- a/molehill/emulator/parties/wire.py
+++ b/molehill/emulator/parties/wire.py
@@ -1,7 +1,7 @@
 """What stand-ins read off a connection: HTTP/1.1 messages with a told length, by code that shares nothing with the relay's."""
 
 
-class Messages:
+class MessageReader:
     """Bytes in, whole messages out: (first line, headers by lower-case name, body, when its first byte was sent)."""
 
     def __init__(self):
--- a/molehill/emulator/life.py
+++ b/molehill/emulator/process.py
@@ -16,20 +16,20 @@
 from molehill.emulator.network import Datagrams, Listener, Sock
 
 # least ns between two looks of a relay's loop: about what a callback costs one core
-TURN = 150_000
-LEAST_FD = 3  # after the standard streams
+MIN_LOOP_INTERVAL = 150_000
+FIRST_DESCRIPTOR = 3  # after the standard streams
 # standard streams, log, discovery, notices, listener, and a few connections
-LEAST_FDS = 24
+MIN_DESCRIPTORS = 24
 # messages that a line between two processes takes in unread, a few more than kernels do
-LETTERS = 64
+MESSAGE_QUEUE_LIMIT = 64
 UP, ENDED, KILLED = "up", "ended", "killed"
 
 
 class Descriptor:
     """Calls go to what it stands for (`file`, which has `holders`); those that others can see are steps of the process."""
 
-    def __init__(self, life, file):
-        self.life, self.file, self.fd = life, file, life.give_fd(self)
+    def __init__(self, process, file):
+        self.process, self.file, self.fd = process, file, process.allocate_descriptor(self)
         file.holders.append(self)
 
     def __getattr__(self, name):
@@ -39,30 +39,30 @@
         return self.fd
 
     def send(self, data) -> int:
-        self.life.step("send")
+        self.process.step("send")
         count = self.file.send(data)
-        self.life.step("sent")
+        self.process.step("sent")
         return count
 
     def accept(self):
-        if self.file.waiting and len(self.life.fds) >= self.life.most_fds():
+        if self.file.waiting and len(self.process.descriptors) >= self.process.descriptor_limit():
             raise OSError(errno.EMFILE, "no descriptor is left")
         file, address = self.file.accept()
-        return Descriptor(self.life, file), address
+        return Descriptor(self.process, file), address
 
     def sendmsg(self, parts, ancillary) -> int:
-        self.life.step("send")
+        self.process.step("send")
         numbers = array.array("i", ancillary[0][2])
-        self.file.put(b"".join(parts), [self.life.fds[fd].file for fd in numbers])
-        self.life.step("sent")
+        self.file.put(b"".join(parts), [self.process.descriptors[fd].file for fd in numbers])
+        self.process.step("sent")
         return sum(map(len, parts))
 
     def recvmsg(self, count, room):
         data, files = self.file.take()
-        numbers = array.array("i", [Descriptor(self.life, file).fd for file in files])
+        numbers = array.array("i", [Descriptor(self.process, file).fd for file in files])
         for file in files:
-            let_go(file, self.file)
-        self.life.step("received")
+            release_reference(file, self.file)
+        self.process.step("received")
         return (
             data,
             [(socket.SOL_SOCKET, socket.SCM_RIGHTS, numbers.tobytes())] if files else [],
@@ -72,18 +72,18 @@
 
     def close(self) -> None:
         if self.fd >= 0:
-            del self.life.fds[self.fd]
+            del self.process.descriptors[self.fd]
             self.fd = -1
-            let_go(self.file, self)
+            release_reference(self.file, self)
 
 
-def let_go(file, holder, how="close") -> None:
+def release_reference(file, holder, how="close") -> None:
     file.holders.remove(holder)
     if not file.holders:
         getattr(file, how, file.close)()
 
 
-class Held:
+class KernelObject:
     """What descriptors stand for."""
 
     def __init__(self):
@@ -98,18 +98,18 @@
     def changed(self) -> None:
         for holder in list(self.holders):
             if isinstance(holder, Descriptor):
-                holder.life.poke(holder.fd)
+                holder.process.wake_if_ready(holder.fd)
 
     def close(self) -> None:
         pass
 
 
-class TaskSock(Held, Sock, Listener):
+class RelaySocket(KernelObject, Sock, Listener):
     """A socket before it is known whether it dials or listens."""
 
     def __init__(self, network, machine):
         Sock.__init__(self, network, machine)
-        Held.__init__(self)
+        KernelObject.__init__(self)
         self.listening, self.address, self.backlog, self.waiting, self.accepted = (
             False,
             None,
@@ -134,28 +134,28 @@
     def shutdown(self, how) -> None:
         """The protocol's other way to give a call up: the sending ends, and the connection stays."""
         Sock.shutdown(self, how)
-        if self.shut:
-            self._tell_hung_up()
+        if self.is_shut_down:
+            self._record_hang_up()
 
     def forget(self) -> None:
-        if not self.closed and not self.shut:
-            self._tell_hung_up()
+        if not self.closed and not self.is_shut_down:
+            self._record_hang_up()
         Sock.forget(self)
 
-    def _tell_hung_up(self) -> None:
+    def _record_hang_up(self) -> None:
         if self.peer is not None:
             self.world.tell(self.machine.name, "hung up", conn=self.peer.number)
 
 
-class TaskDatagrams(Held, Datagrams):
+class RelayDatagramSocket(KernelObject, Datagrams):
     def __init__(self, network, machine):
         Datagrams.__init__(self, network, machine)
-        Held.__init__(self)
+        KernelObject.__init__(self)
 
     mask, close = Datagrams.mask, Datagrams.close
 
 
-class Signals(Held):
+class Signals(KernelObject):
     """The socket on which each signal comes as a byte."""
 
     def __init__(self):
@@ -173,25 +173,25 @@
         return data
 
 
-class Lock(Held):
+class Lock(KernelObject):
     """Of a folder: there while any process holds it."""
 
 
-class Letters(Held):
+class MessageSocket(KernelObject):
     """One end of a line that keeps each message whole, with what is passed in it; what lies unread holds that."""
 
     def __init__(self):
         super().__init__()
-        self.inbox, self.peer, self.over = [], None, False
+        self.inbox, self.peer, self.is_closed = [], None, False
 
     def send(self, data) -> int:
         self.put(bytes(data), [])
         return len(data)
 
     def put(self, data, files) -> None:
-        if self.over or self.peer.over:
+        if self.is_closed or self.peer.is_closed:
             raise BrokenPipeError(errno.EPIPE, "ended")
-        if len(self.peer.inbox) >= LETTERS:
+        if len(self.peer.inbox) >= MESSAGE_QUEUE_LIMIT:
             raise BlockingIOError(errno.EAGAIN, "no room")
         for file in files:
             file.holders.append(self.peer)
@@ -203,41 +203,41 @@
             found = self.inbox.pop(0)
             self.peer.changed()
             return found
-        if self.over or self.peer.over:
+        if self.is_closed or self.peer.is_closed:
             return b"", []
         raise BlockingIOError(errno.EAGAIN, "nothing came")
 
     def mask(self) -> int:
-        over = self.over or self.peer.over
-        return (1 if self.inbox or over else 0) | (
-            4 if over or len(self.peer.inbox) < LETTERS else 0
+        is_closed = self.is_closed or self.peer.is_closed
+        return (1 if self.inbox or is_closed else 0) | (
+            4 if is_closed or len(self.peer.inbox) < MESSAGE_QUEUE_LIMIT else 0
         )
 
     def shutdown(self, how) -> None:
-        self.over = self.peer.over = True
+        self.is_closed = self.peer.is_closed = True
         self.peer.changed()
 
     def close(self) -> None:
         self.shutdown(socket.SHUT_RDWR)
         while self.inbox:
             for file in self.inbox.pop(0)[1]:
-                let_go(file, self)
+                release_reference(file, self)
 
 
-class Meeting(Held):
+class HandoverListener(KernelObject):
     """Where the next process of a relay finds the one that serves."""
 
     def __init__(self):
         super().__init__()
-        self.waiting, self.over = [], False
+        self.waiting, self.is_closed = [], False
 
-    def offer(self):
+    def connect(self):
         """The asker's end of a new line."""
-        if self.over:
+        if self.is_closed:
             raise ConnectionRefusedError(errno.ECONNREFUSED, "nobody is there")
         if self.waiting:
             raise BlockingIOError(errno.EAGAIN, "somebody waits already")
-        ours, theirs = Letters(), Letters()
+        ours, theirs = MessageSocket(), MessageSocket()
         ours.peer, theirs.peer = theirs, ours
         self.waiting.append(theirs)
         self.changed()
@@ -252,7 +252,7 @@
         return 1 if self.waiting else 0
 
     def close(self) -> None:
-        self.over = True
+        self.is_closed = True
         for end in self.waiting:
             end.close()
 
@@ -260,8 +260,8 @@
 class Poller:
     """select.poll on virtual descriptors: gives the world its turn, and comes back when one is ready or time is up."""
 
-    def __init__(self, life):
-        self.life, self.masks = life, {}
+    def __init__(self, process):
+        self.process, self.masks = process, {}
 
     def register(self, fd: int, mask: int) -> None:
         self.masks[fd] = mask
@@ -270,25 +270,27 @@
         del self.masks[fd]
 
     def ready(self) -> list[tuple[int, int]]:
-        fds = self.life.fds
+        descriptors = self.process.descriptors
         # 32: not a descriptor
-        found = [(fd, fds[fd].mask() if fd in fds else 32) for fd in sorted(self.masks)]
+        found = [
+            (fd, descriptors[fd].mask() if fd in descriptors else 32) for fd in sorted(self.masks)
+        ]
         return [(fd, now) for fd, now in found if now & (self.masks[fd] | 8 | 32)]
 
     def poll(self, span: int) -> list[tuple[int, int]]:
-        self.life.park(0 if span == 0 or self.ready() else span * MS)
+        self.process.wait_up_to(0 if span == 0 or self.ready() else span * MS)
         return self.ready()
 
 
-class Sink:
+class LogSink:
     """Log lines, as the timeline shows them."""
 
     def __init__(self, node):
         self.node = node
 
     def msg(self, line: str) -> None:
-        self.node.lines.append((self.node.world.now, line))
-        del self.node.lines[:-500]
+        self.node.log_lines.append((self.node.world.now, line))
+        del self.node.log_lines[:-500]
 
     log = debug = info = warning = error = critical = exception = msg
 
@@ -296,7 +298,7 @@
         return True
 
 
-class Life:
+class EmulatedProcess:
     """A process of `node`'s, and the machine that is handed to it."""
 
     def __init__(self, node, number: int):
@@ -307,80 +309,84 @@
             number,
             UP,
         )
-        self.disk, self.clock, self.wall_clock, self.boot_id, self.fds = (
+        self.disk, self.clock, self.wall_clock, self.boot_id, self.descriptors = (
             node.disk,
             node.clock,
             node.wall_clock,
             "emulated",
             {},
         )
-        self.process, self.signals, self.steps, self.warm = None, None, 0, False
+        self.relay_process, self.signals, self.steps, self.by_handover = None, None, 0, False
         self.kill_at, self.hang_at = None, None  # steps; a hang's with its span
-        self.wakes, self.woke, self.parked = 0, 0, None
-        self.main = greenlet(self._live, parent=node.world.hub)
+        self.wake_serial, self.last_wake_at, self.waiting_task = 0, 0, None
+        self.main = greenlet(self._run_relay, parent=node.world.hub)
 
     @property
     def serving(self) -> bool:
         """Whether the relay is lost if this process is."""
-        return self.state is UP and self.process is not None and not self.process.handed_over
+        return (
+            self.state is UP
+            and self.relay_process is not None
+            and not self.relay_process.handed_over
+        )
 
     # The machine that is handed to it
 
     def poller(self) -> Poller:
-        self.polling = Poller(self)
-        return self.polling
+        self.current_poller = Poller(self)
+        return self.current_poller
 
-    def most_fds(self) -> int:
+    def descriptor_limit(self) -> int:
         """What its machine gives it; under a fault that share of it, and no less than a start needs."""
         node = self.node
         return (
-            node.most_fds
-            if node.fds_share >= 1.0
-            else max(LEAST_FDS, int(node.most_fds * node.fds_share))
+            node.descriptor_limit
+            if node.descriptor_share >= 1.0
+            else max(MIN_DESCRIPTORS, int(node.descriptor_limit * node.descriptor_share))
         )
 
-    def give_fd(self, descriptor) -> int:
+    def allocate_descriptor(self, descriptor) -> int:
         """The lowest number that is free, as kernels give."""
-        fd = LEAST_FD
-        while fd in self.fds:
+        fd = FIRST_DESCRIPTOR
+        while fd in self.descriptors:
             fd += 1
-        self.fds[fd] = descriptor
+        self.descriptors[fd] = descriptor
         return fd
 
     def tcp_socket(self, address):
-        return self._socket(TaskSock)
+        return self._socket(RelaySocket)
 
     def udp_socket(self, address):
-        return self._socket(TaskDatagrams)
+        return self._socket(RelayDatagramSocket)
 
     def _socket(self, kind):
         self.step("socket")
-        if len(self.fds) >= self.most_fds():
+        if len(self.descriptors) >= self.descriptor_limit():
             raise OSError(errno.EMFILE, "no descriptor is left")
-        return Descriptor(self, kind(self.node.network, self.node.place))
+        return Descriptor(self, kind(self.node.network, self.node.machine))
 
     def listen_for_successor(self, folder: str) -> Descriptor:
         self.step("meet")
-        self.node.meeting = Meeting()
-        return Descriptor(self, self.node.meeting)
+        self.node.handover_listener = HandoverListener()
+        return Descriptor(self, self.node.handover_listener)
 
     def connect_to_predecessor(self, folder: str) -> Descriptor:
         self.step("reach")
-        return Descriptor(self, self.node.meeting.offer())
+        return Descriptor(self, self.node.handover_listener.connect())
 
     def socket_from_descriptor(self, fd: int) -> Descriptor:
-        return self.fds[fd]
+        return self.descriptors[fd]
 
     def close(self, fd: int) -> None:
-        self.fds[fd].close()
+        self.descriptors[fd].close()
 
     # What it does
 
-    def _live(self) -> None:
+    def _run_relay(self) -> None:
         """As `python -m molehill` does."""
-        node, sink = self.node, Sink(self.node)
-        config = configuration.parse_config(node.given(), {})
-        node.most_fds = (
+        node, sink = self.node, LogSink(self.node)
+        config = configuration.parse_config(node.read_settings(), {})
+        node.descriptor_limit = (
             config.sockets
             + configuration.RESERVED_DESCRIPTORS
             + (configuration.FLEET_SOCKETS if config.fleet else 0)
@@ -389,47 +395,55 @@
         start = relay.Startup(config, self, sink)
         if not start.wait_until_ready(config, self.signals):
             return
-        node.takes_over(self, warm=start.handover is not None)
-        self.process = relay.Process(
-            config, self, sink, lambda before: configuration.parse_config(node.given(), {}), start
+        node.take_over(self, by_handover=start.handover is not None)
+        self.relay_process = relay.Process(
+            config,
+            self,
+            sink,
+            lambda before: configuration.parse_config(node.read_settings(), {}),
+            start,
         )
-        self.process.clients.listen(start.handover and start.handover.listener)
-        self.process.begin_serving(self.signals)
+        self.relay_process.clients.listen(start.handover and start.handover.listener)
+        self.relay_process.begin_serving(self.signals)
         node.ready(self)
-        self.process.run()
+        self.relay_process.run()
 
     def resume(self, task) -> None:
         """Runs it up to its next wait; what it lets escape is a crash."""
-        self.node.acting = self
+        self.node.running = self
         task.switch()
-        self.node.acting = None
+        self.node.running = None
         if self.state is UP and self.main.dead:
-            self.over(ENDED)
+            self.terminate(ENDED)
 
-    def park(self, span: int) -> None:
+    def wait_up_to(self, span: int) -> None:
         """Its loop has nothing to do for so long, unless something becomes ready."""
-        self.parked = getcurrent()
+        self.waiting_task = getcurrent()
         self.wake_at(self.world.now + span)
         self.world.hub.switch()
 
     def wake_at(self, when: int) -> None:
-        self.wakes += 1
-        self.world.at(max(when, self.woke + TURN, self.node.frozen_until), self._wake, self.wakes)
+        self.wake_serial += 1
+        self.world.at(
+            max(when, self.last_wake_at + MIN_LOOP_INTERVAL, self.node.frozen_until),
+            self._wake,
+            self.wake_serial,
+        )
 
     def _wake(self, number: int) -> None:
-        if number != self.wakes or self.parked is None or self.state is not UP:
+        if number != self.wake_serial or self.waiting_task is None or self.state is not UP:
             return
         if self.world.now < self.node.frozen_until:
             return self.wake_at(self.node.frozen_until)
-        task, self.parked, self.woke = self.parked, None, self.world.now
+        task, self.waiting_task, self.last_wake_at = self.waiting_task, None, self.world.now
         self.resume(task)
 
-    def poke(self, fd: int) -> None:
+    def wake_if_ready(self, fd: int) -> None:
         """A descriptor of its own may have become ready."""
         if (
-            self.parked is not None
-            and fd in self.polling.masks
-            and self.fds[fd].mask() & (self.polling.masks[fd] | 8)
+            self.waiting_task is not None
+            and fd in self.current_poller.masks
+            and self.descriptors[fd].mask() & (self.current_poller.masks[fd] | 8)
         ):
             self.wake_at(self.world.now)
 
@@ -460,12 +474,12 @@
             and getcurrent() is not self.world.hub
         ):
             span, self.hang_at = self.hang_at[1], None
-            self.world.after(span, self.goes_on, getcurrent())
-            self.node.hangs(self, self.world.now + span)
+            self.world.after(span, self.resume_after_hang, getcurrent())
+            self.node.report_hang(self, self.world.now + span)
             self.world.hub.switch()
         return size
 
-    def goes_on(self, task) -> None:
+    def resume_after_hang(self, task) -> None:
         if self.state is UP:
             self.resume(task)
 
@@ -473,24 +487,24 @@
         """SIGKILL, from outside or in the middle of one of its own steps."""
         if self.state is not UP:
             return
-        self.over(KILLED)
+        self.terminate(KILLED)
         if getcurrent() is not self.world.hub:
-            self.node.graves.append(getcurrent())
+            self.node.ended_tasks.append(getcurrent())
             self.world.hub.switch()
 
-    def over(self, how: str) -> None:
+    def terminate(self, how: str) -> None:
         """What the kernel does with a process that is gone."""
-        self.state, self.parked, self.kill_at = how, None, None
+        self.state, self.waiting_task, self.kill_at = how, None, None
         # never resumed, never run by a destructor before the world's end
-        self.node.graves.append(self)
-        self.node.lost(self)
-        for descriptor in sorted(self.fds.values(), key=lambda d: d.fd):
-            let_go(descriptor.file, descriptor, "reset")
-        self.fds.clear()
+        self.node.ended_tasks.append(self)
+        self.node.process_ended(self)
+        for descriptor in sorted(self.descriptors.values(), key=lambda d: d.fd):
+            release_reference(descriptor.file, descriptor, "reset")
+        self.descriptors.clear()
 
     def sizes(self) -> dict[str, int]:
         """How many rows each map of the relay has that has to be empty again once nothing is held."""
-        core, http = self.process.core, self.process
+        core, http = self.relay_process.core, self.relay_process
         # the socket of signals and the lock are not in the budget
         counted = http.budget.total() + 2
         if http.handover_server is not None:
@@ -509,7 +523,7 @@
             "streams": len(http.hosts.streams),
             "notices": http.notices.pending_count,
             "aborted": len(http.hosts.aborted),
-            "descriptors not counted": len(self.fds) - counted,
+            "descriptors not counted": len(self.descriptors) - counted,
             "idle clients not open": sum(
                 conn not in http.clients.connections
                 for rows in http.clients.idle_connections.values()
--- a/molehill/emulator/recount.py
+++ b/molehill/emulator/recount.py
@@ -8,11 +8,11 @@
 
 from molehill.config import MS
 from molehill.core.metrics import DELIVERED, FAULTED, THROTTLED
-from molehill.emulator.referee import CROSSING
+from molehill.emulator.referee import CROSSING_SPAN
 from molehill.emulator.scenario import FAULTS, directions
 
 SIGHUP = 1
-HELD = 250 * MS  # an upgrade's pause at most, and what crosses its ends
+HANDOVER_SPAN = 250 * MS  # an upgrade's pause at most, and what crosses its ends
 BY_STATUS = {429: THROTTLED, 503: THROTTLED, 500: FAULTED}
 BY_RESULT = {"bounced": THROTTLED, "dead": FAULTED}
 
@@ -20,23 +20,23 @@
 class Recount:
     def __init__(self, world, scenario):
         # beyond: parties at an end of a way that was cut
-        self.set, self.beyond = scenario, set()
+        self.scenario, self.cut_parties = scenario, set()
         # id -> class; call -> relay, ids; (relay, id) -> seen in this life
-        self.of, self.calls, self.ended = {}, {}, {}
+        self.class_by_id, self.calls, self.ended = {}, {}, {}
         self.counts, self.written, self.unsure = defaultdict(Counter), Counter(), Counter()
         # relay -> files broken and sound, since its process began
         self.files = defaultdict(lambda: [0, 0])
         # relays whose file is broken as the next signal comes
         self.broken = set()
         # relay -> asks without an answer: any count or none
-        self.unheard = defaultdict(set)
+        self.unanswered = defaultdict(set)
         # relay -> when what ended lately did
-        self.lately = defaultdict(lambda: deque(maxlen=100))
+        self.recent_ends = defaultdict(lambda: deque(maxlen=100))
         # relay -> ids called and not ended: open at a kill
-        self.out = defaultdict(set)
+        self.ids_called = defaultdict(set)
         # fresh: connection -> its answer of just now
-        self.world, self.silent, self.fresh = world, False, {}
-        self.on = {
+        self.world, self.has_silent_hosts, self.recent_answers = world, False, {}
+        self.handlers = {
             "fault": self.fault,
             "signal": self.signal,
             "asked": self.asked,
@@ -49,7 +49,9 @@
             "took over": self.took_over,
         }
         world.watchers.append(
-            lambda now, who, what, facts: self.on[what](who, **facts) if what in self.on else None
+            lambda now, who, what, facts: self.handlers[what](who, **facts)
+            if what in self.handlers
+            else None
         )
 
     def fault(self, who, kind, falls_on, worth, **_) -> None:
@@ -57,8 +59,10 @@
             self.broken.add(falls_on)
         # what was heard beyond it, and whether it counted, the wires don't show
         if FAULTS[kind] == "pair":
-            self.beyond.update(name for way in directions(self.set, falls_on) for name in way)
-        self.silent = self.silent or kind in ("vanished", "dead", "zone_dark")
+            self.cut_parties.update(
+                name for way in directions(self.scenario, falls_on) for name in way
+            )
+        self.has_silent_hosts = self.has_silent_hosts or kind in ("vanished", "dead", "zone_dark")
 
     def signal(self, who, number) -> None:
         if number == SIGHUP:
@@ -66,60 +70,62 @@
             self.broken.discard(who)
 
     def asked(self, who, id, category, relay, **_) -> None:
-        self.of.setdefault(id, category)
-        self.unheard[relay].add((who, id))
+        self.class_by_id.setdefault(id, category)
+        self.unanswered[relay].add((who, id))
 
     def heard(self, who, id, status, wait, relay) -> None:
-        self.unheard[relay].discard((who, id))
+        self.unanswered[relay].discard((who, id))
         if status in BY_STATUS:
-            self.counts[relay][BY_STATUS[status], self.of.get(id)] += 1
+            self.counts[relay][BY_STATUS[status], self.class_by_id.get(id)] += 1
 
     def call(self, who, call, relay, ids, conn, **_) -> None:
         self.calls[call] = relay, ids, conn
         self.written[relay] += len(ids)
-        self.out[relay].update(ids)
+        self.ids_called[relay].update(ids)
 
     def answered(self, who, call, status, ids, **_) -> None:
         relay, _, conn = self.calls[call]
-        self.fresh = {
-            c: row for c, row in self.fresh.items() if self.world.now - row[0] <= CROSSING
+        self.recent_answers = {
+            c: row
+            for c, row in self.recent_answers.items()
+            if self.world.now - row[0] <= CROSSING_SPAN
         }
-        self.fresh[conn] = self.world.now, relay, len(ids)
+        self.recent_answers[conn] = self.world.now, relay, len(ids)
         for ident in ids if status == 200 else ():
             self.end(relay, ident, DELIVERED)
 
     def hung_up(self, who, conn) -> None:
         """An answer that crossed the relay's hanging up may have come too late to count."""
-        written, relay, count = self.fresh.get(conn, (0, None, 0))
-        if self.world.now - written <= CROSSING:
+        written, relay, count = self.recent_answers.get(conn, (0, None, 0))
+        if self.world.now - written <= CROSSING_SPAN:
             self.unsure[relay] += count
 
     def notice(self, who, id, result, wait, relay) -> None:
         self.end(relay, id, BY_RESULT[result])
 
     def end(self, relay, ident, how) -> None:
-        self.out[relay].discard(ident)
-        self.lately[relay].append(self.world.now)
+        self.ids_called[relay].discard(ident)
+        self.recent_ends[relay].append(self.world.now)
         if (relay, ident) not in self.ended:
             self.ended[relay, ident] = how
-            self.counts[relay][how, self.of.get(ident)] += 1
+            self.counts[relay][how, self.class_by_id.get(ident)] += 1
 
     def started(self, who, life) -> None:
-        self.begins(who, len(self.out.pop(who, ())))
+        self.reset(who, len(self.ids_called.pop(who, ())))
 
     def took_over(self, who, life) -> None:
         """What ended while the old process held all was read by either of the two."""
-        self.begins(who, sum(self.world.now - at <= HELD for at in self.lately[who]))
+        self.reset(who, sum(self.world.now - at <= HANDOVER_SPAN for at in self.recent_ends[who]))
 
-    def begins(self, who, unsure: int) -> None:
+    def reset(self, who, unsure: int) -> None:
         self.unsure[who] = unsure
         self.counts[who], self.written[who] = Counter(), 0
         self.files.pop(who, None)
         self.ended = {place: how for place, how in self.ended.items() if place[0] != who}
 
-    def untrue(self, relay, figures) -> dict:
+    def wrong_figures(self, relay, figures) -> dict:
         """The figures of a relay that holds nothing which are further from the recount than allowed: name -> (said, counted)."""
-        if relay in self.beyond:
+        if relay in self.cut_parties:
             return {}
         said = {
             (end, one): count
@@ -132,14 +138,14 @@
         }
         # A host that vanished or died reads nothing of what was written to it: there the wires show too few.
         pairs["relayed"] = (
-            min(figures.relayed, self.written[relay]) if self.silent else figures.relayed,
+            min(figures.relayed, self.written[relay]) if self.has_silent_hosts else figures.relayed,
             self.written[relay],
         )
         pairs["cfg_invalid"], pairs["cfg_accepted"] = zip(
             (figures.cfg_invalid, figures.cfg_accepted), self.files[relay]
         )
         pairs["open_requests"] = figures.open_requests, 0
-        unsure = self.unsure[relay] + len(self.unheard[relay])
+        unsure = self.unsure[relay] + len(self.unanswered[relay])
         return {
             name: (said, counted)
             for name, (said, counted) in pairs.items()
--- a/molehill/emulator/referee.py
+++ b/molehill/emulator/referee.py
@@ -11,33 +11,33 @@
 from molehill.emulator.world import START
 
 SLACK = 50 * MS  # "each time limit is 50 ms longer"
-LOST = 300 * MS + SLACK  # after its time is up, without an end, it is lost
+LOST_AFTER = 300 * MS + SLACK  # after its time is up, without an end, it is lost
 AFTER_READY = 1500 * MS  # no notice is overdue before, after a restart
-DRAIN = SECOND + SLACK  # the grace after a drain was told
-LET_THROUGH = 100 * MS  # calls that come so soon after a told wait
+DRAIN_GRACE = SECOND + SLACK  # the grace after a drain was told
+RETRY_AFTER_GRACE = 100 * MS  # calls that come so soon after a told wait
 # an answer so young may still be under way when the relay hangs up: it knows nothing of it
-CROSSING = 2 * MS
+CROSSING_SPAN = 2 * MS
 # an answer that was written so long ago is known to a relay that lived on
-KNOWS = 100 * MS
+ANSWER_READ_SPAN = 100 * MS
 SIGTERM = 15
 NO_END = 3600 * SECOND  # of a call that tells none
 # answers among which those under way at the start of a cut are looked for
-LATELY = 200
+RECENT_ANSWERS = 200
 WORST = 10  # seconds in a row of which the worst are told
 # an end so long before its time is a giving up; a request read right after a start may have waited 400 ms
-EARLY = 500 * MS
-FELL_BY = 2 / 3  # of the load from relays that knew
+EARLY_FINAL_SPAN = 500 * MS
+INFORMED_SHARE = 2 / 3  # of the load from relays that knew
 
 
-class Ways:
+class PathFaults:
     """Which way is cut or slow until when, as the script says: what was sent on it is known to nobody before."""
 
     def __init__(self, scenario):
-        self.set, self.until, self.delay = scenario, {}, {}
+        self.scenario, self.until, self.delay = scenario, {}, {}
 
     def fault(self, now: int, kind: str, who: str, span: int, worth: float) -> list:
         """The ways that it falls on."""
-        ways = directions(self.set, who)
+        ways = directions(self.scenario, who)
         for way in ways:
             if kind in ("cut", "burst"):
                 self.until[way] = max(self.until.get(way, 0), now + span * MS)
@@ -52,7 +52,9 @@
 
     def over(self, a: str, b: str) -> int:
         """The end of the last trouble on that way so far; long ago, where there was none."""
-        return max(self.until.get((a, b), -AFTER_READY - LOST), self.delay.get((a, b), (0, 0))[0])
+        return max(
+            self.until.get((a, b), -AFTER_READY - LOST_AFTER), self.delay.get((a, b), (0, 0))[0]
+        )
 
     def reaches(self, now: int, a: str, b: str) -> int:
         """When what a says to b now is there, at the latest that the script allows; `now` on a way without trouble."""
@@ -60,7 +62,7 @@
         return max(now, until, now + by if now < slow_until else 0)
 
 
-class Taken:
+class AcceptedCallback:
     """A callback that a client has heard to be taken on."""
 
     __slots__ = (
@@ -143,48 +145,63 @@
     """`doubt`: nanoseconds by which an event may have happened before its stamp; on the virtual clock none."""
 
     def __init__(self, world, scenario, doubt: int = 0):
-        self.world, self.set, self.doubt, self.ways = world, scenario, doubt, Ways(scenario)
-        self.slack, self.lost_after, self.crossing, self.let_through = (
+        self.world, self.scenario, self.doubt, self.path_faults = (
+            world,
+            scenario,
+            doubt,
+            PathFaults(scenario),
+        )
+        self.slack, self.lost_after, self.crossing, self.retry_after_grace = (
             SLACK + doubt,
-            LOST + 2 * doubt,
-            CROSSING + doubt,
-            LET_THROUGH + doubt,
+            LOST_AFTER + 2 * doubt,
+            CROSSING_SPAN + doubt,
+            RETRY_AFTER_GRACE + doubt,
         )
         self.rows = {c.name: c for c in scenario.categories}
         self.kinds = {e.destination: e.kind for e in scenario.endpoints}
         self.asks, self.taken, self.calls = defaultdict(list), defaultdict(list), {}
-        self.by_id, self.by_conn, self.hung = defaultdict(list), defaultdict(list), set()
-        self.by_key, self.given, self.noticed, self.delivered, self.results = (
+        self.by_id, self.by_conn, self.hung_up_connections = (
             defaultdict(list),
+            defaultdict(list),
+            set(),
+        )
+        self.by_key, self.notice_sent_at, self.notice_answered_at, self.delivered, self.results = (
+            defaultdict(list),
+            {},
+            {},
+            {},
+            {},
+        )
+        self.told, self.retry_after_until, self.cooldowns = {}, {}, {}
+        self.life, self.ready_at, self.up, self.lost, self.disk_failing_until = (
+            Counter(),
             {},
             {},
             {},
             {},
         )
-        self.told, self.waits, self.rests = {}, {}, {}
-        self.life, self.ready_at, self.up, self.lost, self.deaf = Counter(), {}, {}, {}, {}
         # (id, body) that a restart found with no call and half of its time left -> its relay
         self.untried = {}
-        self.stood = {}  # relay -> when it stood still last, from and to
-        self.orders, self.counts, self.lately = 0, Counter(), deque(maxlen=LATELY)
+        self.standstills = {}  # relay -> when it stood still last, from and to
+        self.orders, self.counts, self.recent_answers = 0, Counter(), deque(maxlen=RECENT_ANSWERS)
         # Greatest share of slow start's budget that a returning host was given, in all, and where most came from relays that knew
         self.budget_share = self.budget_share_known = 0.0
         # message -> its second; connections that carried a call
         self.born, self.used = {}, set()
         # second -> payoff asked for in it, and delivered of that
         self.seconds = defaultdict(lambda: [0.0, 0.0])
-        self.on = {
+        self.handlers = {
             "asked": self.asked,
             "heard": self.heard,
             "call": self.call,
             "call answered": self.answered,
             "call spoilt": self.spoilt,
             "hung up": self.hung_up,
-            "call connection over": self.conn_over,
+            "call connection over": self.connection_closed,
             "notice": self.notice,
             "notice answered": self.notice_answered,
             "told": self.was_told,
-            "fell over": self.fell,
+            "fell over": self.fell_over,
             "slow start": self.returning,
             "started": self.started,
             "ready": self.ready,
@@ -192,16 +209,16 @@
             "ended": self.died,
             "disk lost": self.disk_lost,
             "wants": self.wants,
-            "no connection left": self.crowded,
+            "no connection left": self.count_crowded,
             "escaped": self.escaped,
-            "frozen": self.stands,
+            "frozen": self.record_standstill,
             "fault": self.fault,
             "signal": self.signalled,
         }
         world.watchers.append(self)
 
     def __call__(self, now, who, what, facts) -> None:
-        work = self.on.get(what)
+        work = self.handlers.get(what)
         if work is not None and self.world.failure is None:
             work(now, who, **facts)
 
@@ -223,7 +240,7 @@
         self.seconds[second][0] += self.rows[category].payoff
         self.counts["payoff wanted"] += self.rows[category].payoff
 
-    def crowded(self, now, who, message, relay) -> None:
+    def count_crowded(self, now, who, message, relay) -> None:
         self.counts["no connection left"] += 1
 
     def asked(self, now, who, category, **facts) -> None:
@@ -239,7 +256,7 @@
         if status not in (200, 202):
             return
         ask = next(a for a in self.asks[id] if a["who"] == who)
-        taken = Taken(ask, owed=who != "strangers")
+        taken = AcceptedCallback(ask, owed=who != "strangers")
         self.taken[id].append(taken)
         if taken.row.ordered and taken.key is not None and taken.owed:
             self.by_key[relay, taken.key].append(taken)
@@ -247,7 +264,7 @@
             self.world.at(taken.due + self.lost_after, self.due, taken)
         if ask["at"] <= self.lost.get(relay, 0):  # the answer crossed the loss of the disk
             self.end(taken, "lost with its disk")
-        if id in self.noticed:  # its notice may cross the answer
+        if id in self.notice_answered_at:  # its notice may cross the answer
             taken.told = True
             self.end(taken, "noticed")
         if (id, taken.body) in self.delivered:
@@ -273,11 +290,12 @@
         now, ready = self.world.now, self.ready_at.get(taken.relay)
         # Cut from the platform in either direction, no connection comes up for a notice; after it there has to be one, as after a start.
         heard = max(
-            self.ways.over(*way) for way in ((taken.relay, "platform"), ("platform", taken.relay))
+            self.path_faults.over(*way)
+            for way in ((taken.relay, "platform"), ("platform", taken.relay))
         )
         if not self.up.get(taken.relay) or now < max(
             ready + AFTER_READY,
-            self.stood.get(taken.relay, (0, 0))[1] + self.lost_after,
+            self.standstills.get(taken.relay, (0, 0))[1] + self.lost_after,
             heard + AFTER_READY + self.lost_after,
         ):
             self.world.after(100 * MS, self.due, taken)
@@ -313,7 +331,7 @@
             call.host if self.kinds[facts["destination"]] == "apart" else facts["destination"],
         )
         told = self.told.get((relay, call.host))
-        if told is not None and since > told + DRAIN + self.doubt:
+        if told is not None and since > told + DRAIN_GRACE + self.doubt:
             self.breach(
                 3,
                 "a call to a host that drains or is gone",
@@ -321,8 +339,8 @@
                 relay=relay,
                 told_ms=(now - told) // MS,
             )
-        until, written = self.waits.get(route, (0, 0))
-        if written + self.let_through < since < until - MS - self.doubt:
+        until, written = self.retry_after_until.get(route, (0, 0))
+        if written + self.retry_after_grace < since < until - MS - self.doubt:
             self.breach(
                 6,
                 "a call inside a told wait",
@@ -331,16 +349,16 @@
                 early_ms=(until - since) // MS,
             )
         for ident, mark, body in zip(call.ids, facts["marks"], call.bodies):
-            self.one(now, since, call, ident, mark, body, facts["destination"])
+            self.check_callback(now, since, call, ident, mark, body, facts["destination"])
         self.calls[call.number] = call
-        if call.conn in self.hung:
+        if call.conn in self.hung_up_connections:
             call.over = now
         else:
             self.by_conn[call.conn].append(call)
         for ident in call.ids:
             self.by_id[ident].append(call)
 
-    def one(self, now, since, call, ident, mark, body, destination) -> None:
+    def check_callback(self, now, since, call, ident, mark, body, destination) -> None:
         """Rules 1, 2 and 5 for one callback of a call."""
         ask = next((a for a in self.asks.get(ident, ()) if a["body"] == body), None)
         if (
@@ -355,12 +373,12 @@
         row = ask["row"]
         earlier = self.by_id.get(ident, ())
         # else it was given up before it came: it waited on the way
-        for before in earlier if call.conn not in self.hung else ():
+        for before in earlier if call.conn not in self.hung_up_connections else ():
             if before.over is None and before.answered is None:
                 if not self.doubt:
-                    return self.at_once(before, call, ident)
-                self.world.after(self.doubt, self.at_once, before, call, ident)
-        if ident in self.given and since > self.given[ident] + self.slack:
+                    return self.check_concurrent(before, call, ident)
+                self.world.after(self.doubt, self.check_concurrent, before, call, ident)
+        if ident in self.notice_sent_at and since > self.notice_sent_at[ident] + self.slack:
             return self.breach(
                 1, "a call after its final answer, a notice", id=ident, call=call.number
             )
@@ -370,7 +388,7 @@
                 c.status == 200
                 and c.known
                 and c.life == call.life
-                and since > c.reached + KNOWS + self.doubt
+                and since > c.reached + ANSWER_READ_SPAN + self.doubt
                 and not self.read_too_late(c)
             ):
                 return self.breach(
@@ -403,7 +421,7 @@
                     earlier=taken.id,
                     key=ask["key"],
                 )
-        rest, by, begun = self.rests.get(place, (0, None, 0))
+        rest, by, begun = self.cooldowns.get(place, (0, None, 0))
         if begun <= since < rest - self.slack and by != call.number:
             self.breach(
                 5,
@@ -417,10 +435,14 @@
     def read_too_late(self, call) -> bool:
         """Whether its answer reached a relay only when its time was up, which then can't tell it from one that was written too
         late: it may come again as its kind allows, and gets the same answer."""
-        began, ended = self.stood.get(call.relay, (0, 0))
-        return call.reached >= call.until or began <= call.reached + KNOWS and ended >= call.until
+        began, ended = self.standstills.get(call.relay, (0, 0))
+        return (
+            call.reached >= call.until
+            or began <= call.reached + ANSWER_READ_SPAN
+            and ended >= call.until
+        )
 
-    def at_once(self, before, call, ident) -> None:
+    def check_concurrent(self, before, call, ident) -> None:
         """Danger: that a connection is over is seen later than what the relay did next; so with doubt, it is looked at again."""
         if before.over is None and before.answered is None:
             self.breach(
@@ -439,13 +461,15 @@
         done.status, done.answered, done.reached = (
             status,
             now,
-            self.ways.reaches(now, done.host, done.relay),
+            self.path_faults.reaches(now, done.host, done.relay),
         )
-        self.lately.append(done)
+        self.recent_answers.append(done)
         if wait and done.life == self.life[done.relay]:
             destination = int(done.host.partition("-")[0][1:])
             route = (done.relay, done.host if self.kinds[destination] == "apart" else destination)
-            self.waits[route] = max(self.waits.get(route, (0, 0)), (now + wait, done.reached))
+            self.retry_after_until[route] = max(
+                self.retry_after_until.get(route, (0, 0)), (now + wait, done.reached)
+            )
         if status == 200 and now > done.until + self.doubt:
             # the host gave it up as it was told to: what it writes now is no delivery
             done.known = False
@@ -462,13 +486,13 @@
 
     def hung_up(self, now, who, conn) -> None:
         """The relay's side of a connection is gone: what was out on it is given up, and may still run."""
-        self.hung.add(conn)
-        self.given_up(now, conn)
+        self.hung_up_connections.add(conn)
+        self.end_calls(now, conn)
 
-    def conn_over(self, now, who, conn) -> None:
-        self.given_up(now, conn)
+    def connection_closed(self, now, who, conn) -> None:
+        self.end_calls(now, conn)
 
-    def given_up(self, now, conn) -> None:
+    def end_calls(self, now, conn) -> None:
         for call in self.by_conn.pop(conn, ()):
             if call.over is not None:
                 continue
@@ -476,13 +500,13 @@
             call.known = call.known and (
                 call.answered is None or now - call.reached > self.crossing
             )
-            if call.answered is None and self.set.settle_ms:
+            if call.answered is None and self.scenario.settle_ms:
                 for ident, body in zip(call.ids, call.bodies):
                     # a stranger's, under the same id, has a key of its own
                     for ask in self.asks.get(ident, ()):
                         if ask["body"] == body and ask["key"] is not None and ask["row"].ordered:
-                            self.rests[call.relay, ask["key"]] = (
-                                now + self.set.settle_ms * MS,
+                            self.cooldowns[call.relay, ask["key"]] = (
+                                now + self.scenario.settle_ms * MS,
                                 call.number,
                                 now,
                             )
@@ -490,12 +514,12 @@
     def returning(self, now, who, calls, known, budget) -> None:
         """Calls to a host that is back from an outage, the most so far."""
         self.budget_share = max(self.budget_share, calls / budget)
-        if known >= FELL_BY * calls:
+        if known >= INFORMED_SHARE * calls:
             self.budget_share_known = max(self.budget_share_known, calls / budget)
 
-    def fell(self, now, who, calls, known, able) -> None:
+    def fell_over(self, now, who, calls, known, able) -> None:
         self.counts["fell over"] += 1
-        if known >= FELL_BY * calls:
+        if known >= INFORMED_SHARE * calls:
             self.breach(
                 4,
                 "a returning destination pushed over",
@@ -510,8 +534,8 @@
     def notice(self, now, who, id, result, wait, relay) -> None:
         self.counts[f"notice {result}"] += 1
         # else it can't be kept, and a relay that is killed then does not know it
-        if now >= self.deaf.get(relay, 0):
-            self.given.setdefault(id, now)
+        if now >= self.disk_failing_until.get(relay, 0):
+            self.notice_sent_at.setdefault(id, now)
             if self.results.setdefault(id, result) != result:
                 self.breach(1, "two final answers that differ", id=id, relay=relay)
         for taken in self.taken.get(id, ()):
@@ -519,12 +543,12 @@
             if (
                 (id, taken.body) in self.untried
                 and not self.by_id.get(id)
-                and now < taken.due - EARLY
+                and now < taken.due - EARLY_FINAL_SPAN
             ):
                 self.counts["given up untried after a restart"] += 1
 
     def notice_answered(self, now, who, id) -> None:
-        self.noticed.setdefault(id, now)
+        self.notice_answered_at.setdefault(id, now)
         for taken in self.taken.get(id, ()):
             self.end(taken, "noticed")
 
@@ -532,14 +556,14 @@
         if status == "active":
             self.told.pop((relay, host), None)
         else:
-            self.told.setdefault((relay, host), self.ways.reaches(now, "platform", relay))
+            self.told.setdefault((relay, host), self.path_faults.reaches(now, "platform", relay))
 
     # Relays
 
     def started(self, now, who, life) -> None:
         self.life[who] = life
         self.counts["starts"] += 1
-        for rows in (self.waits, self.told):
+        for rows in (self.retry_after_until, self.told):
             for place in [place for place in rows if place[0] == who]:
                 del rows[place]
 
@@ -559,25 +583,30 @@
                 ):
                     self.untried[taken.id, taken.body] = who
 
-    def stands(self, now, who, until, since=None) -> None:
+    def record_standstill(self, now, who, until, since=None) -> None:
         """A machine that stands still owes nothing meanwhile; told again, `since` is when it began."""
-        began, ended = self.stood.get(who, (0, 0))
+        began, ended = self.standstills.get(who, (0, 0))
         begins = now if since is None else since
-        self.stood[who] = (min(began, begins) if begins <= ended else begins), max(until, ended)
+        self.standstills[who] = (
+            (min(began, begins) if begins <= ended else begins),
+            max(until, ended),
+        )
 
     def fault(self, now, who, kind, falls_on, span, worth) -> None:
         """A disk that takes nothing can't keep which answer was given, if the relay is killed meanwhile."""
         if FAULTS[kind] == "pair":
-            for host, relay in self.ways.fault(now, kind, falls_on, span, worth):
+            for host, relay in self.path_faults.fault(now, kind, falls_on, span, worth):
                 # an answer that was just written is behind the cut as well
-                for call in self.lately:
+                for call in self.recent_answers:
                     if (call.host, call.relay) == (
                         host,
                         relay,
                     ) and now - call.answered <= self.crossing:
-                        call.reached = self.ways.reaches(now, host, relay)
+                        call.reached = self.path_faults.reaches(now, host, relay)
         if kind in ("disk_full", "disk_failing", "disk_error"):
-            self.deaf[falls_on] = max(now + span * MS, self.deaf.get(falls_on, 0))
+            self.disk_failing_until[falls_on] = max(
+                now + span * MS, self.disk_failing_until.get(falls_on, 0)
+            )
 
     def signalled(self, now, who, number) -> None:
         """From SIGTERM on, no notice is overdue until it is back."""
@@ -607,7 +636,7 @@
 
     def disk_lost(self, now, who) -> None:
         self.lost[who] = now
-        self.rests = {place: rest for place, rest in self.rests.items() if place[0] != who}
+        self.cooldowns = {place: rest for place, rest in self.cooldowns.items() if place[0] != who}
         for rows in self.taken.values():
             for taken in rows:
                 if taken.relay == who:
@@ -618,9 +647,9 @@
 
     # The end
 
-    def close(self, sizes, untrue) -> None:
+    def close(self, sizes, wrong_figures) -> None:
         """After all is over: nothing is left anywhere, and no figure is untrue."""
-        for relay, rows in untrue.items():
+        for relay, rows in wrong_figures.items():
             if rows:
                 self.breach(0, "untrue figures", relay=relay, said_and_counted=rows)
         for relay, rows in sizes.items():
@@ -639,7 +668,7 @@
                 given_up=self.counts["given up untried after a restart"],
             )
         asked = self.counts["asked"] + self.counts["no connection left"]
-        if asked and self.counts["no connection left"] > self.set.crowd_share * asked:
+        if asked and self.counts["no connection left"] > self.scenario.crowd_share * asked:
             self.breach(
                 0,
                 "programs crowded out of their own connections",
--- a/molehill/emulator/run.py
+++ b/molehill/emulator/run.py
@@ -7,28 +7,28 @@
 from molehill.emulator.node import SIGHUP, SIGTERM, Node
 from molehill.emulator.parties.endpoint import Endpoint
 from molehill.emulator.parties.platform import Platform
-from molehill.emulator.parties.programs import Front, Program
+from molehill.emulator.parties.programs import Program, RelayPool
 from molehill.emulator.parties.strangers import Strangers
 from molehill.emulator.recount import Recount
-from molehill.emulator.referee import LOST, Referee
+from molehill.emulator.referee import LOST_AFTER, Referee
 from molehill.emulator.scenario import Scenario, directions
-from molehill.emulator.script import Script, fleet_part, relay_file
+from molehill.emulator.script import Script, fleet_settings, relay_settings
 from molehill.emulator.world import START, World
 
-AGAIN = 600 * MS  # from a kill to the next start: the platform's figure
-KILLED_AFTER = 3700 * MS  # from SIGTERM to SIGKILL, likewise
-WORDS = 7000  # what relays say to each other
+RESTART_DELAY = 600 * MS  # from a kill to the next start: the platform's figure
+TERMINATION_TIMEOUT = 3700 * MS  # from SIGTERM to SIGKILL, likewise
+MEMBERSHIP_PORT = 7000  # what relays say to each other
 # operators' doors: a port for each start, as an upgrade has a new one
-DOORS = 9000
+ADMIN_PORT = 9000
 # after the last abandon time: ends and notices are out, rows are dropped
-QUIET = 3 * SECOND
+CLEANUP_SPAN = 3 * SECOND
 
 
 class Plan:
     """A stand-in's plan with the run's own times beside it."""
 
-    def __init__(self, **given):
-        self.__dict__.update(given)
+    def __init__(self, **fields):
+        self.__dict__.update(fields)
 
 
 def host_plans(scenario):
@@ -51,19 +51,19 @@
             )
 
 
-def program_plan(scenario, p, until: int) -> Plan:
+def program_plan(scenario, program_row, until: int) -> Plan:
     rows = {c.name: c for c in scenario.categories}
     surges = [(START + s.at_ms * MS, s.span_ms * MS, s.by) for s in scenario.surges]
     return Plan(
-        rate=p.rate,
+        rate=program_row.rate,
         until=until,
-        destinations=p.destinations,
-        keys=p.keys,
-        tries=p.tries,
-        heeds=p.heeds,
-        once=p.once,
-        leaves=p.leaves,
-        categories=[rows[name] for name in p.categories or rows],
+        destinations=program_row.destinations,
+        keys=program_row.keys,
+        tries=program_row.tries,
+        heeds=program_row.heeds,
+        once=program_row.once,
+        leaves=program_row.leaves,
+        categories=[rows[name] for name in program_row.categories or rows],
         surges=surges,
     )
 
@@ -85,16 +85,16 @@
                 world, network, name, (f"10.1.{number}.{n + 1}", 8081), plan
             )
             self.platform.put(host, "active", lag=0)
-        self.front = Front(world, scenario.sockets // 3)
+        self.relay_pool = RelayPool(world, scenario.sockets // 3)
         self.nodes, addresses = {}, {}
         for n in range(scenario.relays):
             name = f"relay{n}"
             addresses[name] = (f"10.0.0.{n + 1}", 8081)
             node = self.nodes[name] = Node(
-                world, network, name, lambda n=name: self.given(n), scenario.disk_kb * 1000
+                world, network, name, lambda n=name: self.settings_of(n), scenario.disk_kb * 1000
             )
-            node.on_kill.append(self.died)
-            node.on_ready.append(self.old_one_ends)
+            node.on_kill.append(self.restart_later)
+            node.on_ready.append(self.end_predecessor)
         self.addresses, self.upgrades = (
             addresses,
             any(f.kind.startswith("upgrade") for f in scenario.faults),
@@ -103,12 +103,12 @@
             Program(
                 world,
                 network,
-                self.front,
+                self.relay_pool,
                 f"program{n}",
                 addresses,
-                program_plan(scenario, p, self.until),
+                program_plan(scenario, program_row, self.until),
             )
-            for n, p in enumerate(scenario.programs)
+            for n, program_row in enumerate(scenario.programs)
         ]
         self.strangers = Strangers(
             world,
@@ -117,61 +117,63 @@
             Plan(copies=scenario.strangers.copies, rate=scenario.strangers.rate, until=self.until),
         )
         for program in self.programs:
-            program.overheard = self.strangers.overhear if scenario.strangers.copies else None
+            program.request_observer = (
+                self.strangers.observe_request if scenario.strangers.copies else None
+            )
         for fault in scenario.faults:
-            world.at(START + fault.at_ms * MS, self.falls, fault)
-        world.watchers.append(self.saw)
+            world.at(START + fault.at_ms * MS, self.apply_fault, fault)
+        world.watchers.append(self.observe)
         for name in self.nodes:
-            world.after(MS, self.begin, name)
+            world.after(MS, self.start_if_down, name)
 
-    def given(self, name: str) -> dict:
+    def settings_of(self, name: str) -> dict:
         """A relay's configuration, in the platform's form."""
-        life = self.nodes[name].life
-        admin = (self.addresses[name][0], DOORS + life) if self.upgrades else None
-        words = {relay: (address[0], WORDS) for relay, address in self.addresses.items()}
-        return relay_file(
+        start_count = self.nodes[name].start_count
+        admin = (self.addresses[name][0], ADMIN_PORT + start_count) if self.upgrades else None
+        words = {relay: (address[0], MEMBERSHIP_PORT) for relay, address in self.addresses.items()}
+        return relay_settings(
             self.scenario,
             name,
-            f"{self.scenario.seed:x}{life:x}",
+            f"{self.scenario.seed:x}{start_count:x}",
             self.addresses[name],
             self.platform.address,
             self.platform.known(name),
             "/state",
             admin,
             self.retuned.get(name, ()),
-            fleet_part(self.scenario, name, words[name], words),
+            fleet_settings(self.scenario, name, words[name], words),
         )
 
     # Relays
 
-    def begin(self, name: str) -> None:
+    def start_if_down(self, name: str) -> None:
         node = self.nodes[name]
         if not node.up:
-            self.starts(node)
+            self.start_process(node)
 
-    def starts(self, node, **troubles) -> None:
+    def start_process(self, node, **troubles) -> None:
         try:
             node.start(**troubles)
         except Exception as error:
             self.world.tell(node.name, "escaped", error=repr(error))
 
-    def old_one_ends(self, node, life) -> None:
+    def end_predecessor(self, node, process) -> None:
         """At the yes of a process that was started beside another: told to end, and killed if it does not."""
-        for other in [o for o in node.lives if o is not life]:
+        for other in [o for o in node.processes if o is not process]:
             other.signal(SIGTERM)
-            self.world.after(KILLED_AFTER, other.kill)
+            self.world.after(TERMINATION_TIMEOUT, other.kill)
 
-    def saw(self, now, who, what, facts) -> None:
+    def observe(self, now, who, what, facts) -> None:
         if what == "ready":
-            self.front.up(who)
+            self.relay_pool.up(who)
         elif what in ("killed", "ended"):
-            self.front.down(who, lambda: not self.nodes[who].up)
+            self.relay_pool.down(who, lambda: not self.nodes[who].up)
             for host in self.hosts.values():
-                host.forgets(who)
+                host.forget_relay(who)
 
-    def died(self, node) -> None:
+    def restart_later(self, node) -> None:
         self.referee.left_on_disk(node.name, node.disk.image())
-        self.world.after(AGAIN, self.begin, node.name)
+        self.world.after(RESTART_DELAY, self.start_if_down, node.name)
 
     # Faults
 
@@ -186,12 +188,12 @@
 
     def on_kill_again(self, fault, node, span) -> None:
         node.kill()
-        self.world.after(AGAIN + MS, self.on_kill_step, fault, node, span)
+        self.world.after(RESTART_DELAY + MS, self.on_kill_step, fault, node, span)
 
     def on_restart(self, fault, node, span) -> None:
         node.signal(SIGTERM)
         if node.owner is not None:
-            self.world.after(KILLED_AFTER, node.owner.kill)
+            self.world.after(TERMINATION_TIMEOUT, node.owner.kill)
 
     def on_upgrade(self, fault, node, span) -> None:
         """Started again beside itself; the old or the new process dies or hangs in so many steps of its own, if any."""
@@ -205,7 +207,7 @@
             node.kill_in(at)
         elif how == "hangs":
             node.owner.hang_at = node.owner.steps + at, span
-        self.starts(node, **troubles)
+        self.start_process(node, **troubles)
 
     on_upgrade_new_dies = on_upgrade_old_dies = on_upgrade_new_hangs = on_upgrade_old_hangs = (
         on_upgrade
@@ -231,25 +233,27 @@
     def on_lose_disk(self, fault, node, span) -> None:
         node.kill()
         if node.owner is not None:
-            node.disk.lose()
+            node.disk.erase()
             self.world.tell(node.name, "disk lost")
 
     def on_spoil(self, fault, node, span) -> None:
         """Killed, and one byte of its log is another at the next start."""
         node.kill()
-        node.disk.spoil("/state/log")
+        node.disk.corrupt("/state/log")
 
     def on_disk_full(self, fault, node, span) -> None:
-        self.sets(span, node.disk, "most", node.disk.used(), self.scenario.disk_kb * 1000, min)
+        self.set_during(
+            span, node.disk, "capacity", node.disk.used_bytes(), self.scenario.disk_kb * 1000, min
+        )
 
     def on_disk_failing(self, fault, node, span) -> None:
-        self.sets(span, node.disk, "failing", 5, None)  # EIO
+        self.set_during(span, node.disk, "write_errno", 5, None)  # EIO
 
     def on_short_writes(self, fault, node, span) -> None:
-        self.sets(span, node.disk, "short", fault.worth, 0.0)
+        self.set_during(span, node.disk, "short_write_share", fault.worth, 0.0)
 
     def on_few_descriptors(self, fault, node, span) -> None:
-        self.sets(span, node, "fds_share", fault.worth, 1.0, min)
+        self.set_during(span, node, "descriptor_share", fault.worth, 1.0, min)
 
     def on_move(self, fault, _, span) -> None:
         """Discovery and notices go to another address: each relay's file names it, and it is told by SIGHUP."""
@@ -265,42 +269,42 @@
 
     def on_cut(self, fault, _, span) -> None:
         """The end of each cut is known as it begins, so what is under way waits for the last of them."""
-        for way in self.ways(fault, span):
-            way.until = max(way.until, self.world.now + span)
+        for path in self.affected_paths(fault, span):
+            path.until = max(path.until, self.world.now + span)
             if fault.kind == "burst":
-                way.bursts = max(way.bursts, self.world.now + span)
+                path.burst_until = max(path.burst_until, self.world.now + span)
 
     on_burst = on_cut
 
     def on_delay(self, fault, _, span) -> None:
-        for way in self.ways(fault, span):
-            self.sets(span, way, "delay", int(fault.worth * MS), 0)
+        for path in self.affected_paths(fault, span):
+            self.set_during(span, path, "delay", int(fault.worth * MS), 0)
 
     def on_narrow(self, fault, _, span) -> None:
-        for way in self.ways(fault, span):
-            self.sets(span, way, "rate", max(1, int(fault.worth)), 0, min)
+        for path in self.affected_paths(fault, span):
+            self.set_during(span, path, "rate", max(1, int(fault.worth)), 0, min)
 
     def on_lose(self, fault, _, span) -> None:
-        for way in self.ways(fault, span):
-            self.sets(span, way, fault.kind, fault.worth, 0.0)
+        for path in self.affected_paths(fault, span):
+            self.set_during(span, path, fault.kind, fault.worth, 0.0)
 
     on_repeat = on_reorder = on_spoil_bytes = on_lose
 
-    def ways(self, fault, span: int) -> list:
+    def affected_paths(self, fault, span: int) -> list:
         """Those that it falls on; what it did there is told at its end."""
-        found = [self.network.way(a, b) for a, b in directions(self.scenario, fault.who)]
-        for way in found:
-            self.world.after(span, self.did, fault, way, way.touched)
+        found = [self.network.path_between(a, b) for a, b in directions(self.scenario, fault.who)]
+        for path in found:
+            self.world.after(span, self.report_affected, fault, path, path.affected_count)
         return found
 
-    def did(self, fault, way, before: int) -> None:
+    def report_affected(self, fault, path, before: int) -> None:
         self.world.tell(
             "cables",
             "cable did",
             kind=fault.kind,
             falls_on=fault.who,
             at_ms=fault.at_ms,
-            touched=way.touched - before,
+            touched=path.affected_count - before,
         )
 
     # The whole
@@ -311,13 +315,15 @@
         collecting = gc.isenabled()
         gc.disable()  # nothing may end greenlets at a moment of its own choosing
         try:
-            world.run(self.until + max(c.span_ms for c in s.categories) * MS + LOST + QUIET)
+            world.run(
+                self.until + max(c.span_ms for c in s.categories) * MS + LOST_AFTER + CLEANUP_SPAN
+            )
             if world.failure is None:
                 up = {name: node for name, node in self.nodes.items() if node.up}
                 self.referee.close(
                     {name: node.sizes() for name, node in up.items()},
                     {
-                        name: self.recount.untrue(name, node.process.core.metrics)
+                        name: self.recount.wrong_figures(name, node.process.core.metrics)
                         for name, node in up.items()
                     },
                 )
--- a/molehill/emulator/days.py
+++ b/molehill/emulator/sample_scenarios.py
@@ -11,7 +11,7 @@
 )
 
 
-def calm(**given) -> Scenario:
+def simple_scenario(**given) -> Scenario:
     """Two destinations, one relay, some eighty callbacks, no fault; `given` differs."""
     rows = dict(
         seed=1,
@@ -27,14 +27,14 @@
     return check(Scenario(**{**rows, **given}))
 
 
-def upgraded(kind: str, step: int, span_ms: int = 0, seed: int = 1) -> Scenario:
+def upgrade_scenario(kind: str, step: int, span_ms: int = 0, seed: int = 1) -> Scenario:
     """An upgrade in the midst of slow calls, in which `kind` (new_dies, old_hangs and the like) happens at that step."""
     rows = [
         Category("status", "deduplicated", 3000, ordered=True, window_ms=2500),
         Category("rate", "idempotent", 2000),
         Category("refund", "at_most_once", 3000, payoff=4.0, ordered=True),
     ]
-    return calm(
+    return simple_scenario(
         seed=seed,
         span_ms=2500,
         categories=rows,
--- a/molehill/emulator/scenario.py
+++ b/molehill/emulator/scenario.py
@@ -14,11 +14,11 @@
     """A scenario that can't be used; the text names the key."""
 
 
-class Base(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
+class ScenarioPart(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
     pass
 
 
-class Category(Base):
+class Category(ScenarioPart):
     name: str
     # idempotent, deduplicated or at_most_once, as the platform calls them
     effect: str
@@ -34,7 +34,7 @@
         return self.span_ms * 1_000_000
 
 
-class EndpointPlan(Base):
+class EndpointPlan(ScenarioPart):
     destination: int
     hosts: int = 2
     kind: str = "plain"
@@ -45,7 +45,7 @@
     zones: int = 2
 
 
-class ProgramPlan(Base):
+class ProgramPlan(ScenarioPart):
     rate: float  # callbacks a second
     destinations: list[int]
     keys: int = 20
@@ -56,18 +56,18 @@
     categories: list[str] = []  # all, if empty
 
 
-class Surge(Base):
+class Surge(ScenarioPart):
     at_ms: int
     span_ms: int
     by: float
 
 
-class StrangersPlan(Base):
+class StrangersPlan(ScenarioPart):
     copies: float = 0.0
     rate: float = 0.0
 
 
-class Fault(Base):
+class Fault(ScenarioPart):
     """`who`: a relay (relay0), a host (h3-0) or platform; of what falls on the way between two, `A>B` (what A sends to B) or `A<>B` (both
     ways), where A and B are names, several with commas, or `relays`, `hosts`. `span_ms`: how long; `worth`: how bad, by the kind."""
 
@@ -78,7 +78,7 @@
     worth: float = 0.0
 
 
-class FleetPlan(Base):
+class FleetPlan(ScenarioPart):
     """Membership among the relays; spans as in a relay's file (`roundMs` and so on)."""
 
     spans: dict[str, float] = {}
@@ -86,7 +86,7 @@
     seeds: int = 3
 
 
-class Scenario(Base):
+class Scenario(ScenarioPart):
     seed: int
     # how long load comes; the run goes on until all that was taken on is over
     span_ms: int
@@ -179,7 +179,7 @@
     "older": "relay",
 }
 
-STREAMS_TOO = ("cut", "burst", "delay", "narrow")
+STREAM_FAULTS = ("cut", "burst", "delay", "narrow")
 EMULATED_ONLY = (
     "kill_step",
     "kill_again",
@@ -223,66 +223,66 @@
 def check(scenario: Scenario) -> Scenario:
     """What the types don't say."""
 
-    def must(condition, key, text):
+    def require(condition, key, text):
         if not condition:
             raise ScenarioError(f"$.{key}: {text}")
 
-    must(scenario.relays > 0, "relays", "at least one is needed")
-    must(scenario.span_ms > 0, "span_ms", "no time at all")
-    must(scenario.sockets >= 32, "sockets", "a relay needs 32")
-    must(scenario.categories, "categories", "none is given")
-    must(scenario.endpoints, "endpoints", "none is given")
+    require(scenario.relays > 0, "relays", "at least one is needed")
+    require(scenario.span_ms > 0, "span_ms", "no time at all")
+    require(scenario.sockets >= 32, "sockets", "a relay needs 32")
+    require(scenario.categories, "categories", "none is given")
+    require(scenario.endpoints, "endpoints", "none is given")
     names, places = (
         {c.name for c in scenario.categories},
         {e.destination for e in scenario.endpoints},
     )
     for n, c in enumerate(scenario.categories):
-        must(
+        require(
             c.effect in ("idempotent", "deduplicated", "at_most_once"),
             f"categories[{n}].effect",
             f"'{c.effect}' is unknown",
         )
-        must(
+        require(
             c.scope in ("zone", "all"),
             f"categories[{n}].scope",
             f"'{c.scope}' is neither zone nor all",
         )
-        must(c.span_ms > 0, f"categories[{n}].span_ms", "no time at all")
+        require(c.span_ms > 0, f"categories[{n}].span_ms", "no time at all")
     for n, e in enumerate(scenario.endpoints):
-        must(
+        require(
             e.hosts > 0 and e.slots > 0 and e.zones > 0,
             f"endpoints[{n}]",
             "hosts, slots and zones are at least one",
         )
     for n, p in enumerate(scenario.programs):
-        must(p.rate > 0, f"programs[{n}].rate", "has to be more than none")
-        must(
+        require(p.rate > 0, f"programs[{n}].rate", "has to be more than none")
+        require(
             p.destinations and set(p.destinations) <= places,
             f"programs[{n}].destinations",
             "none, or one that nobody serves",
         )
-        must(set(p.categories) <= names, f"programs[{n}].categories", "one is unknown")
+        require(set(p.categories) <= names, f"programs[{n}].categories", "one is unknown")
     relays = {f"relay{n}" for n in range(scenario.relays)}
     hosts = {f"h{e.destination}-{n}" for e in scenario.endpoints for n in range(e.hosts)}
     for n, f in enumerate(scenario.faults):
-        must(f.kind in FAULTS, f"faults[{n}].kind", f"'{f.kind}' is unknown")
+        require(f.kind in FAULTS, f"faults[{n}].kind", f"'{f.kind}' is unknown")
         if FAULTS[f.kind] == "pair":
             ways = directions(scenario, f.who)
-            must(
+            require(
                 ways,
                 f"faults[{n}].who",
                 f"'{f.who}' is not A>B or A<>B of a relay and another party, or of two relays",
             )
             among = all(a in relays and b in relays for a, b in ways)
-            must(
-                among or f.kind in STREAMS_TOO,
+            require(
+                among or f.kind in STREAM_FAULTS,
                 f"faults[{n}].kind",
                 f"'{f.kind}' falls on datagrams, which only relays send each other",
             )
         else:
             fits = {"relay": relays, "host": hosts, "platform": {"platform"}}[FAULTS[f.kind]]
-            must(f.who in fits, f"faults[{n}].who", f"'{f.who}' is no {FAULTS[f.kind]} here")
-        must(f.at_ms >= 0 and f.span_ms >= 0, f"faults[{n}].at_ms", "times are not negative")
+            require(f.who in fits, f"faults[{n}].who", f"'{f.who}' is no {FAULTS[f.kind]} here")
+        require(f.at_ms >= 0 and f.span_ms >= 0, f"faults[{n}].at_ms", "times are not negative")
     return scenario
 
 
--- a/molehill/emulator/script.py
+++ b/molehill/emulator/script.py
@@ -5,9 +5,14 @@
 """
 
 from molehill.config import MS
-from molehill.emulator.parties.endpoint import COLD, FALL_SPAN, PUSHED, RAMP
-
-DRAIN_TOLD = 1500 * MS  # from the list's word to the first call that is turned away
+from molehill.emulator.parties.endpoint import (
+    COLD_SHARE,
+    OVERLOAD_FACTOR,
+    OVERLOAD_SPAN,
+    SLOW_START_SPAN,
+)
+
+DRAIN_NOTICE = 1500 * MS  # from the list's word to the first call that is turned away
 CATEGORY_KEYS = {
     "name": "name",
     "effect": "semantics",
@@ -19,7 +24,7 @@
 }
 
 
-class Layers:
+class OverlappingParts:
     """Parts that lie on one value. `worst(parts)`: which of those in force counts; `base`: the value without any.
 
     Danger: an end that puts back the value it found ends a longer fault that began before it, and keeps alive one that it outlasts.
@@ -28,20 +33,20 @@
     def __init__(self, base, worst, apply):
         self.base, self.worst, self.apply, self.parts = base, worst, apply, {}
 
-    def lay(self, key, part) -> None:
+    def add(self, key, part) -> None:
         self.parts[key] = part
         self.apply(self.worst(self.parts.values()))
 
-    def lift(self, key) -> None:
+    def remove(self, key) -> None:
         del self.parts[key]
         self.apply(self.worst(self.parts.values()) if self.parts else self.base)
 
 
 class Script:
     def prepare(self) -> None:
-        self.layers, self.laid, self.modes, self.drains = {}, 0, {}, {}
+        self.layers, self.part_serial, self.modes, self.drains = {}, 0, {}, {}
 
-    def falls(self, fault) -> None:
+    def apply_fault(self, fault) -> None:
         self.world.tell(
             "script",
             "fault",
@@ -55,50 +60,50 @@
     def party(self, who: str):
         return self.hosts.get(who)
 
-    def during(self, span: int, place, part, base, worst, apply) -> None:
+    def apply_during(self, span: int, place, part, base, worst, apply) -> None:
         """`part` lies on `place` for that span; the value that is in force there goes to apply()."""
-        layers = self.layers.setdefault(place, Layers(base, worst, apply))
-        self.laid += 1
-        layers.lay(self.laid, part)
-        self.world.after(span, layers.lift, self.laid)
+        layers = self.layers.setdefault(place, OverlappingParts(base, worst, apply))
+        self.part_serial += 1
+        layers.add(self.part_serial, part)
+        self.world.after(span, layers.remove, self.part_serial)
 
-    def sets(self, span: int, thing, name: str, part, base, worst=max) -> None:
-        self.during(
+    def set_during(self, span: int, thing, name: str, part, base, worst=max) -> None:
+        self.apply_during(
             span, (thing, name), part, base, worst, lambda value: setattr(thing, name, value)
         )
 
     # Hosts
 
-    def _mode(self, fault, host, span) -> None:
-        self._in_mode(host, (fault.kind, max(1, int(fault.worth)), self.world.now + span), span)
+    def _apply_mode(self, fault, host, span) -> None:
+        self._enter_mode(host, (fault.kind, max(1, int(fault.worth)), self.world.now + span), span)
 
-    def _in_mode(self, host, row, span: int) -> None:
+    def _enter_mode(self, host, row, span: int) -> None:
         rows = self.modes.setdefault(host.name, [])
         rows.append(row)
-        host.became(*row)
-        self.world.after(span, self._mode_over, host, rows, row)
+        host.set_mode(*row)
+        self.world.after(span, self._leave_mode, host, rows, row)
 
-    def _mode_over(self, host, rows, row) -> None:
+    def _leave_mode(self, host, rows, row) -> None:
         """One that fell over meanwhile stays down."""
         rows.remove(row)
         if host.mode == row[0]:
-            host.became(*(rows[-1] if rows else ("well",)))
+            host.set_mode(*(rows[-1] if rows else ("well",)))
 
     on_silent = on_erring = on_refusing = on_shut = on_slow = on_spoilt = on_dead = on_vanished = (
-        _mode
+        _apply_mode
     )
 
     def on_drain(self, fault, host, span) -> None:
         """Told first, by a second and a half; it turns away then, and is told to be back at the end."""
         self.drains[host.name] = self.drains.get(host.name, 0) + 1
         self.platform.put(host, "leaving")
-        self.world.after(DRAIN_TOLD, self._drained, host)
-        self.world.after(span, self._drain_over, host)
+        self.world.after(DRAIN_NOTICE, self._start_draining, host)
+        self.world.after(span, self._end_drain, host)
 
-    def _drained(self, host) -> None:
+    def _start_draining(self, host) -> None:
         host.draining = self.drains[host.name] > 0
 
-    def _drain_over(self, host) -> None:
+    def _end_drain(self, host) -> None:
         self.drains[host.name] -= 1
         if not self.drains[host.name]:
             host.draining = False
@@ -110,43 +115,45 @@
             for h in self.hosts.values()
             if h.plan.zone == "ab"[round(fault.worth)] and h.mode == "well"
         ]:
-            self._in_mode(host, ("vanished",), span)
+            self._enter_mode(host, ("vanished",), span)
 
     def on_lower(self, fault, _, span) -> None:
         for host in self.hosts.values():
-            self.during(span, (host, "lower"), fault.worth, 1.0, min, host.lowers)
+            self.apply_during(span, (host, "lower"), fault.worth, 1.0, min, host.lower_limit)
 
     # The platform
 
     def on_lag(self, fault, _, span) -> None:
-        self.sets(span, self.platform, "lag", int(fault.worth) * MS, 0)
+        self.set_during(span, self.platform, "lag", int(fault.worth) * MS, 0)
 
     def on_outage(self, fault, _, span) -> None:
-        self.during(span, (self.platform, "down"), True, False, max, self.platform.goes)
+        self.apply_during(span, (self.platform, "down"), True, False, max, self.platform.set_down)
 
     def on_lost_answers(self, fault, _, span) -> None:
-        self.sets(span, self.platform, "lose_answers", fault.worth, 0.0)
+        self.set_during(span, self.platform, "lose_answers", fault.worth, 0.0)
 
 
-def fleet_part(scenario, name: str, listen, doors: dict, all_of_them: bool = False) -> dict:
-    """`fleet` of a relay's file; `doors`: name -> the address at which this relay finds that one. Empty where the scenario has none."""
+def fleet_settings(
+    scenario, name: str, listen, member_addresses: dict, seed_all: bool = False
+) -> dict:
+    """`fleet` of a relay's file; `member_addresses`: name -> the address at which this relay finds that one. Empty where the scenario has none."""
     plan = scenario.fleet
     if plan is None:
         return {}
-    others = [other for other in doors if other != name]
-    seeds = others if all_of_them else others[: plan.seeds]
+    others = [other for other in member_addresses if other != name]
+    seeds = others if seed_all else others[: plan.seeds]
     return {
         "fleet": {
             "name": "rehearsed",
             "listen": "%s:%d" % listen,
-            "seeds": {other: "%s:%d" % doors[other] for other in seeds},
+            "seeds": {other: "%s:%d" % member_addresses[other] for other in seeds},
             "keys": ["00" * 15 + f"{scenario.seed % 256:02x}"],
             **plan.spans,
         }
     }
 
 
-def relay_file(
+def relay_settings(
     scenario,
     name: str,
     seed: str,
@@ -195,10 +202,10 @@
             },
             "guarantees": {
                 "settleAfterDoubtMs": s.settle_ms,
-                "fallMs": FALL_SPAN // MS,
-                "tipMultiple": PUSHED,
-                "coldFrom": COLD,
-                "rampTimeMs": RAMP // MS,
+                "fallMs": OVERLOAD_SPAN // MS,
+                "tipMultiple": OVERLOAD_FACTOR,
+                "coldFrom": COLD_SHARE,
+                "rampTimeMs": SLOW_START_SPAN // MS,
             },
             "telemetry": {"fields": ["x0", "x1"], "how": "piggyback"},
         },
--- a/molehill/emulator/show.py
+++ b/molehill/emulator/show.py
@@ -16,7 +16,7 @@
     for node in run.nodes.values():
         rows += [
             (at, 1 << 40, node.name, "says " + line.partition("event=")[2])
-            for at, line in node.lines
+            for at, line in node.log_lines
         ]
     rows.sort(key=lambda row: row[:2])
     lines = [
--- a/molehill/emulator/sweep.py
+++ b/molehill/emulator/sweep.py
@@ -32,7 +32,7 @@
         return play(scenario)
 
 
-def _work(job) -> dict:
+def _play_seed(job) -> dict:
     seed, mistake, weights, customers = job
     return play_one(from_seed(seed, weights, customers), mistake)
 
@@ -91,12 +91,12 @@
     if not todo:
         return
     with get_context("spawn").Pool(jobs, maxtasksperchild=RUNS_A_WORKER) as pool:
-        for verdict in pool.imap_unordered(_work, todo):
+        for verdict in pool.imap_unordered(_play_seed, todo):
             results.add(verdict)
             yield verdict
 
 
-def twice(scenario) -> list[str]:
+def digests_of_two_runs(scenario) -> list[str]:
     """Digests of two runs: here, and in a process that hashes in another way."""
     code = (
         "import sys; from molehill.emulator import scenario, run; "
@@ -114,13 +114,13 @@
     return [play(scenario)["digest"], done.stdout.strip()]
 
 
-def same_way(one, other) -> bool:
+def fails_alike(one, other) -> bool:
     return (
         bool(one) and bool(other) and (one["rule"], one["text"]) == (other["rule"], other["text"])
     )
 
 
-def smaller(scenario):
+def smaller_scenarios(scenario):
     """Scenarios with a little less of something, the largest steps first."""
     change = msgspec.structs.replace
     lists = ("faults", "programs", "surges", "endpoints", "categories")
@@ -150,7 +150,7 @@
             yield change(scenario, faults=scenario.faults[:n] + [less] + scenario.faults[n + 1 :])
 
 
-def fitting(scenario):
+def without_dangling(scenario):
     """The scenario with what hangs in the air taken out, or None where it can't stand."""
     change, places = msgspec.structs.replace, {e.destination for e in scenario.endpoints}
     names = {c.name for c in scenario.categories}
@@ -184,15 +184,15 @@
     better, seen = True, set()
     while better and played < tries:
         better = False
-        for made in smaller(scenario):
-            made = fitting(made)
+        for made in smaller_scenarios(scenario):
+            made = without_dangling(made)
             text = made and scenarios.dump(made)
             if made is None or made == scenario or text in seen or played >= tries:
                 continue
             seen.add(text)
             played += 1
             found = play_one(made, mistake)
-            if same_way(verdict["failure"], found["failure"]):
+            if fails_alike(verdict["failure"], found["failure"]):
                 scenario, verdict, better = made, found, True
                 break
     return scenario, verdict, played
--- a/molehill/fleet/cable.py
+++ b/molehill/fleet/cable.py
@@ -300,7 +300,7 @@
                 setattr(way, kind, value)
                 way.changed()
 
-            script.during(
+            script.apply_during(
                 span, (way, fault.kind), part, base, min if fault.kind == "narrow" else max, apply
             )
             self.world.after(span, self.did, fault, way, before)
--- a/molehill/fleet/conductor.py
+++ b/molehill/fleet/conductor.py
@@ -20,11 +20,11 @@
 
 from molehill.config import MS, SECOND
 from molehill.emulator import scenario as scenarios
-from molehill.emulator.parties.wire import Messages, request
-from molehill.emulator.referee import LOST
-from molehill.emulator.run import AGAIN, KILLED_AFTER, QUIET, host_plans
+from molehill.emulator.parties.wire import MessageReader, request
+from molehill.emulator.referee import LOST_AFTER
+from molehill.emulator.run import CLEANUP_SPAN, RESTART_DELAY, TERMINATION_TIMEOUT, host_plans
 from molehill.emulator.scenario import FAULTS, SHIMMED, directions
-from molehill.emulator.script import Script, fleet_part, relay_file
+from molehill.emulator.script import Script, fleet_settings, relay_settings
 from molehill.emulator.world import START
 from molehill.fleet.party import PARENT_GONE, Spec
 from molehill.fleet.places import WORDS, Places, claim
@@ -96,8 +96,8 @@
 
     def write_file(self, door=None) -> None:
         run, places = self.run, self.run.places
-        address = run.network.seen_by(self.name, run.platform_at, "platform")
-        given = relay_file(
+        address = run.network.address_seen_by(self.name, run.platform_at, "platform")
+        given = relay_settings(
             run.scenario,
             self.name,
             f"{run.scenario.seed:x}{self.number:x}",
@@ -120,8 +120,8 @@
             f"relay{other}": (lambda host, port: (host, port + CABLE))(*places.words(self.n, other))
             for other in range(self.run.scenario.relays)
         }
-        return fleet_part(
-            self.run.scenario, self.name, (places.relay(self.n)[0], WORDS), doors, all_of_them=True
+        return fleet_settings(
+            self.run.scenario, self.name, (places.relay(self.n)[0], WORDS), doors, seed_all=True
         )
 
     def start(self) -> Life:
@@ -163,7 +163,7 @@
                 self.ask(life)
 
     def ask(self, life) -> None:
-        life.asking, reader = True, Messages()
+        life.asking, reader = True, MessageReader()
 
         def came(sock, data, sent_at) -> None:
             for first, *_ in reader.feed(data, sent_at):
@@ -194,7 +194,7 @@
         if before.child.poll() is None:
             before.state, before.wanted = ENDING, True
             before.child.send_signal(signal.SIGTERM)
-            self.world.after(KILLED_AFTER, self.run.end_child, before.child)
+            self.world.after(TERMINATION_TIMEOUT, self.run.end_child, before.child)
 
     def gone(self, life) -> None:
         self.lives.remove(life)
@@ -209,7 +209,7 @@
         self.run.tell_all(self.name, "killed" if code < 0 else "ended", life=life.number)
         self.world.tell(self.name, "left on disk", file=self.image(life))
         if self.owner is None:
-            self.world.after(AGAIN, self.again)
+            self.world.after(RESTART_DELAY, self.again)
         # one that waits for the folder: what it does is another life's
         else:
             self.world.tell(self.name, "started", life=self.owner.number)
@@ -306,7 +306,7 @@
         rows = [
             {
                 "name": name,
-                "address": "%s:%d" % self.network.seen_by(relay, self.places.host(h), name),
+                "address": "%s:%d" % self.network.address_seen_by(relay, self.places.host(h), name),
                 "zone": plan.zone,
                 "type": plan.kind,
                 "group": plan.destination,
@@ -382,12 +382,14 @@
             self.order(begin=zero)
             for fault in self.scenario.faults:
                 if FAULTS[fault.kind] == "relay" and fault.kind != "flood" or fault.kind == "herd":
-                    self.world.at(START + fault.at_ms * MS, self.falls, fault)
+                    self.world.at(START + fault.at_ms * MS, self.apply_fault, fault)
                 # told by the platform, as each is by whoever carries it out
                 elif fault.kind == "move":
                     self.world.at(START + fault.at_ms * MS, self.on_move, fault, None, 0)
             longest = max(c.span_ms for c in self.scenario.categories) * MS
-            self.world.at(START + self.scenario.span_ms * MS + longest + LOST + QUIET, self.ends)
+            self.world.at(
+                START + self.scenario.span_ms * MS + longest + LOST_AFTER + CLEANUP_SPAN, self.ends
+            )
             self.world.run()
         finally:
             self.end_all()
@@ -449,7 +451,7 @@
 
     def page(self, relay, target: str, waiting, told) -> None:
         """One page of a relay's door."""
-        reader, place = Messages(), (relay.name, target)
+        reader, place = MessageReader(), (relay.name, target)
         waiting.add(place)
 
         def came(sock, data, sent_at) -> None:
@@ -515,7 +517,7 @@
         hit = relay.up and relay.signal(signal.SIGTERM)
         if hit:
             relay.owner.state, relay.owner.wanted = ENDING, True
-            self.world.after(KILLED_AFTER, self.end_child, relay.owner.child)
+            self.world.after(TERMINATION_TIMEOUT, self.end_child, relay.owner.child)
         self.hit(fault, hit)
 
     def on_lose_disk(self, fault, relay, span) -> None:
@@ -568,7 +570,7 @@
                 life.child.send_signal(signal.SIGSTOP if stopped else signal.SIGCONT)
 
         self.hit(fault, True)
-        self.during(span, (relay.name, life.number, "stopped"), True, False, max, apply)
+        self.apply_during(span, (relay.name, life.number, "stopped"), True, False, max, apply)
 
     def on_few_descriptors(self, fault, relay, span) -> None:
         most = max(24, int(self.scenario.sockets * fault.worth))
@@ -599,7 +601,7 @@
 
     def fails(self, fault, relay, span, key: str) -> None:
         self.hit(fault, True)  # also one that is down: its next start is into it
-        self.during(
+        self.apply_during(
             span,
             (relay.name, key),
             int(fault.worth),
@@ -617,7 +619,7 @@
     def on_disk_error(self, fault, relay, span) -> None:
         """Everything fails in the first half of it; then plain writes go well, and all else fails as before."""
         self.fails(fault, relay, span, "files")
-        self.during(
+        self.apply_during(
             span // 2,
             (relay.name, "disk"),
             int(fault.worth),
@@ -638,7 +640,7 @@
     def limit(self, fault, relay, span, which, value) -> None:
         if relay.up:
             self.hit(fault, True)
-            self.during(
+            self.apply_during(
                 span,
                 (relay.name, relay.number, which),
                 value,
--- a/molehill/fleet/party.py
+++ b/molehill/fleet/party.py
@@ -16,7 +16,7 @@
 from molehill.emulator import scenario as scenarios
 from molehill.emulator.parties.endpoint import Endpoint
 from molehill.emulator.parties.platform import Platform
-from molehill.emulator.parties.programs import Front, Program
+from molehill.emulator.parties.programs import Program, RelayPool
 from molehill.emulator.parties.strangers import Strangers
 from molehill.emulator.run import Plan, host_plans, program_plan
 from molehill.emulator.script import Script
@@ -74,7 +74,7 @@
     def begins(self) -> None:
         """The run's time has been told."""
 
-    def falls(self, fault) -> None:
+    def apply_fault(self, fault) -> None:
         if fault.kind not in self.TELLS_NOT:
             self.world.tell(
                 "script",
@@ -103,7 +103,7 @@
                 self.world.begin(order["begin"])
                 for fault in self.scenario.faults:
                     if fault.kind in self.KINDS:
-                        self.world.at(START + fault.at_ms * MS, self.falls, fault)
+                        self.world.at(START + fault.at_ms * MS, self.apply_fault, fault)
                 self.begins()
             else:
                 self.heard_of(order["who"], order["what"])
@@ -126,7 +126,7 @@
     def heard_of(self, who, what) -> None:
         if what in ("killed", "ended"):
             for host in self.hosts.values():
-                host.forgets(who)
+                host.forget_relay(who)
 
 
 class ThePlatform(Party):
@@ -149,12 +149,12 @@
         s = self.scenario
         until = START + s.span_ms * MS
         addresses = {name: self.places.relay(n) for n, name in enumerate(self.names)}
-        self.front = Front(self.world, s.sockets // 3)
+        self.relay_pool = RelayPool(self.world, s.sockets // 3)
         self.programs = [
             Program(
                 self.world,
                 self.network,
-                self.front,
+                self.relay_pool,
                 f"program{n}",
                 addresses,
                 program_plan(s, p, until),
@@ -168,20 +168,22 @@
             Plan(copies=s.strangers.copies, rate=s.strangers.rate, until=until),
         )
         for program in self.programs:
-            program.overheard = self.strangers.overhear if s.strangers.copies else None
+            program.request_observer = (
+                self.strangers.observe_request if s.strangers.copies else None
+            )
         for name in self.up:
-            self.front.up(name)
+            self.relay_pool.up(name)
 
     def heard_of(self, who, what) -> None:
-        front = getattr(self, "front", None)
+        relay_pool = getattr(self, "relay_pool", None)
         if what == "ready":
             self.up.add(who)
-            if front is not None:
-                front.up(who)
+            if relay_pool is not None:
+                relay_pool.up(who)
         elif what in ("killed", "ended"):
             self.up.discard(who)
-            if front is not None:
-                front.down(who, lambda: who not in self.up)
+            if relay_pool is not None:
+                relay_pool.down(who, lambda: who not in self.up)
 
 
 class TheCables(Party):
--- a/molehill/fleet/sockets.py
+++ b/molehill/fleet/sockets.py
@@ -1,4 +1,4 @@
-"""The emulator's network on the kernel's sockets: the calls that its parties make (`machine`, `connect`, `serve`, `seen_by`), no more.
+"""The emulator's network on the kernel's sockets: the calls that its parties make (`machine`, `connect`, `serve`, `address_seen_by`), no more.
 
 A party's listener has a socket for each relay, at an address that only this relay is told: so a party knows who calls, and a cable can
 stand before any one of them.
@@ -33,7 +33,7 @@
 
     def __init__(self, world, name: str):
         self.world, self.name, self.cut, self.boots = world, name, False, 0
-        self.listeners, self.socks, self.knocked = set(), set(), set()
+        self.listeners, self.socks, self.failed_connectors = set(), set(), set()
 
     def vanish(self) -> None:
         """Reads nothing, says nothing; that a relay hung up is seen, for the history alone."""
@@ -46,7 +46,7 @@
         self.cut, self.boots = False, self.boots + 1
         self.reset_all()
         for listener in list(self.listeners):
-            self.knocked.update(listener.turned_away())
+            self.failed_connectors.update(listener.turned_away())
             listener.look()
 
     def die(self) -> None:
@@ -75,7 +75,7 @@
         self.numbers += 1
         return f"{self.world.name}-{self.numbers}"
 
-    def seen_by(self, relay: str, address, party: str):
+    def address_seen_by(self, relay: str, address, party: str):
         """What that relay is told for the address of a party."""
         host, port = at(address, self.relays.index(relay))
         return host, port + (CABLE if (relay, party) in self.cabled else 0)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -12,23 +12,23 @@
 from molehill.core.reducer import Core
 from molehill.emulator import generator, sweep
 from molehill.emulator import scenario as scenarios
-from molehill.emulator.days import calm, upgraded
 from molehill.emulator.parties.endpoint import slow_start_budget
 from molehill.emulator.run import Run
+from molehill.emulator.sample_scenarios import simple_scenario, upgrade_scenario
 from molehill.emulator.scenario import EndpointPlan, Fault, ProgramPlan, ScenarioError
 from molehill.emulator.show import timeline
 from molehill.emulator.world import START
 
-ONCE_FAILED = sorted((Path(__file__).parent / "scenarios").glob("*.toml"))
+REGRESSION_SCENARIOS = sorted((Path(__file__).parent / "scenarios").glob("*.toml"))
 
 
-def kept(verdict):
+def check_kept(verdict):
     assert verdict["ok"], verdict["failure"]
     return verdict
 
 
-def test_a_calm_day_delivers_all():
-    verdict = kept(sweep.play_one(calm()))
+def test_without_faults_all_is_delivered():
+    verdict = check_kept(sweep.play_one(simple_scenario()))
     assert verdict["service"] == 1.0 and verdict["delivered"] == verdict["wanted"] > 50
 
 
@@ -47,15 +47,15 @@
 
 @pytest.mark.parametrize("seed", range(14))
 def test_rough_days_keep_the_rules(seed):
-    kept(sweep.play_one(generator.make(seed, span_ms=5000)))
+    check_kept(sweep.play_one(generator.make(seed, span_ms=5000)))
 
 
 @pytest.mark.parametrize("seed", [3, 11, 39])
 def test_rough_days_of_fleets_and_upgrades_keep_the_rules(seed):
     """Kinds that are drawn only where they are asked for; 39 once waited a second for a process that hung."""
-    kept(
+    check_kept(
         sweep.play_one(
-            generator.make(seed, {kind: 2 for kind in generator.ASKED_FOR}, span_ms=5000)
+            generator.make(seed, {kind: 2 for kind in generator.OPTIONAL_KINDS}, span_ms=5000)
         )
     )
 
@@ -63,7 +63,7 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_rough_days_of_customers_that_nobody_knows_keep_the_rules(seed):
     """Classes, effects, windows, deadlines and bounds are drawn: nothing in a relay may be fitted to one customer's."""
-    kept(sweep.play_one(generator.make(seed, span_ms=4000, customers=True)))
+    check_kept(sweep.play_one(generator.make(seed, span_ms=4000, customers=True)))
 
 
 def test_each_seed_draws_another_customer_and_the_faults_of_a_seed_are_the_same_without():
@@ -81,9 +81,9 @@
     ) == generator.make(5, customers=False)
 
 
-@pytest.mark.parametrize("path", ONCE_FAILED, ids=lambda path: path.stem)
+@pytest.mark.parametrize("path", REGRESSION_SCENARIOS, ids=lambda path: path.stem)
 def test_what_once_failed_keeps_the_rules(path):
-    kept(sweep.play_one(scenarios.load(path.read_text(encoding="utf-8"))))
+    check_kept(sweep.play_one(scenarios.load(path.read_text(encoding="utf-8"))))
 
 
 @pytest.mark.parametrize("step", range(1, 90, 6))
@@ -93,7 +93,7 @@
         Fault("kill_step", 700, "relay0", worth=float(step)),
         Fault("kill_again", 1600, "relay0", worth=float(step % 17 + 1)),
     ]
-    verdict = kept(sweep.play_one(calm(faults=faults)))
+    verdict = check_kept(sweep.play_one(simple_scenario(faults=faults)))
     assert verdict["starts"] == 4 and verdict["delivered"] > 0
 
 
@@ -117,21 +117,23 @@
 ):
     """Danger: two owners, or none; calls of both; what was delivered and not read runs again."""
     for step in range(1, 130, STRIDE if "dies" in kind else 3 * STRIDE):
-        verdict = kept(sweep.play_one(upgraded(kind, step, span)))
+        verdict = check_kept(sweep.play_one(upgrade_scenario(kind, step, span)))
         assert verdict["starts"] <= 2 and verdict["service"] > (0.85 if "dies" in kind else 0.2)
 
 
 def test_upgrades_pass_all_over_and_their_figures_begin_anew():
     run = Run(
-        calm(span_ms=4000, faults=[Fault("upgrade", at, "relay0") for at in (700, 1500, 2600)])
+        simple_scenario(
+            span_ms=4000, faults=[Fault("upgrade", at, "relay0") for at in (700, 1500, 2600)]
+        )
     )
-    verdict, relay = kept(run.play()), run.nodes["relay0"]
-    assert verdict["starts"] == 1 and relay.life == 4 and len(relay.lives) == 1
+    verdict, relay = check_kept(run.play()), run.nodes["relay0"]
+    assert verdict["starts"] == 1 and relay.start_count == 4 and len(relay.processes) == 1
     assert verdict["service"] == 1.0 and verdict["delivered"] >= verdict["calls"]
 
 
-def reloads(*more):
-    return calm(
+def reload_scenario(*more):
+    return simple_scenario(
         span_ms=3000,
         faults=[
             *(
@@ -148,9 +150,11 @@
 @pytest.mark.parametrize("step", [None, *range(1, 90, 11)])
 def test_figures_stand_up_to_a_recount_over_new_settings_and_kills(step):
     """The referee recounts each relay's figures from the wires on every emulated day; here with files that change."""
-    kept(
+    check_kept(
         sweep.play_one(
-            reloads(*([Fault("kill_step", 1000, "relay0", worth=float(step))] if step else []))
+            reload_scenario(
+                *([Fault("kill_step", 1000, "relay0", worth=float(step))] if step else [])
+            )
         )
     )
 
@@ -166,20 +170,23 @@
 
     monkeypatch.setattr(Core, "_count_end", twice)
     verdict = sweep.play_one(
-        reloads(Fault("shut", 100, "h2-0", 2500), Fault("shut", 100, "h2-1", 2500))
+        reload_scenario(Fault("shut", 100, "h2-0", 2500), Fault("shut", 100, "h2-1", 2500))
     )
     assert not verdict["ok"] and end in str(verdict["failure"]["facts"])
 
 
 def test_the_same_seed_gives_the_same_events_in_a_process_with_another_hash_seed():
     for seed in (3, 9):
-        one, other = sweep.twice(generator.make(seed, span_ms=4000))
+        one, other = sweep.digests_of_two_runs(generator.make(seed, span_ms=4000))
         assert one == other
-    assert sweep.play_one(calm())["digest"] != sweep.play_one(calm(seed=2))["digest"]
+    assert (
+        sweep.play_one(simple_scenario())["digest"]
+        != sweep.play_one(simple_scenario(seed=2))["digest"]
+    )
 
 
 def test_a_relay_that_lets_a_fault_escape_fails_the_run():
-    run = Run(calm())
+    run = Run(simple_scenario())
     run.world.after(500_000_000, lambda: run.nodes["relay0"].process.scheduler.call_at(0, None))
     verdict = run.play()
     assert not verdict["ok"] and verdict["failure"]["text"] == "a fault in the relay"
@@ -187,8 +194,8 @@
 
 def test_programs_that_find_no_connection_left_are_reported():
     crowd = ProgramPlan(60.0, [1], once=True)
-    run = Run(calm(sockets=48, programs=[crowd, ProgramPlan(20.0, [1])]))
-    run.front.allowance = 2
+    run = Run(simple_scenario(sockets=48, programs=[crowd, ProgramPlan(20.0, [1])]))
+    run.relay_pool.allowance = 2
     failure = run.play()["failure"]
     assert failure["text"] == "programs crowded out of their own connections"
 
@@ -210,7 +217,7 @@
     name = change.split(" =")[0]
     lines = [
         line
-        for line in scenarios.dump(calm()).splitlines()
+        for line in scenarios.dump(simple_scenario()).splitlines()
         if not line.startswith(f"{name} =") or change[0] == "["
     ]
     text = "\n".join([*lines, change] if change[0] == "[" else [change, *lines])
@@ -251,7 +258,7 @@
     out.write_text("no results\n")
     assert runner.invoke(main, [*BROKEN, "--out", str(out)]).exit_code == 2
     path = tmp_path / "calm.toml"
-    path.write_text(scenarios.dump(calm(span_ms=300)))
+    path.write_text(scenarios.dump(simple_scenario(span_ms=300)))
     assert runner.invoke(main, ["emulate", "run", str(path)]).exit_code == 0
     shown = runner.invoke(main, ["emulate", "show", str(path), "--about", "relay0", "--last", "5"])
     assert shown.exit_code == 0 and shown.output.splitlines()[-1] == "all rules kept"
@@ -268,7 +275,7 @@
 
 
 def test_shrinking_keeps_the_failure_and_drops_what_it_does_not_need():
-    rough = calm(
+    rough = simple_scenario(
         faults=[
             Fault("silent", 300, "h1-0", 400),
             Fault("hup", 500, "relay0"),
@@ -281,14 +288,14 @@
     small, verdict, played = sweep.shrink(rough, 40, "order of keys not kept")
     assert verdict["failure"]["rule"] == 5 and played <= 40
     assert len(small.faults) < 3 and len(small.programs) == 1 and small.span_ms < rough.span_ms
-    assert sweep.same_way(
+    assert sweep.fails_alike(
         sweep.play_one(small, "order of keys not kept")["failure"], verdict["failure"]
     )
-    kept(sweep.play_one(small))
+    check_kept(sweep.play_one(small))
 
 
 def test_a_timeline_names_the_breach_and_the_relays_own_words():
-    verdict, lines = timeline(calm(span_ms=300), last=10_000)
+    verdict, lines = timeline(simple_scenario(span_ms=300), last=10_000)
     assert (
         verdict["ok"]
         and any("says 'ready'" in line for line in lines)
@@ -302,8 +309,8 @@
     [
         ("lower", 0.5, lambda run: [h.plan.rate for h in run.hosts.values()]),
         ("silent", 0.0, lambda run: run.hosts["h1-0"].mode),
-        ("few_descriptors", 0.5, lambda run: run.nodes["relay0"].owner.most_fds()),
-        ("disk_full", 0.0, lambda run: run.nodes["relay0"].disk.most),
+        ("few_descriptors", 0.5, lambda run: run.nodes["relay0"].owner.descriptor_limit()),
+        ("disk_full", 0.0, lambda run: run.nodes["relay0"].disk.capacity),
         ("outage", 0.0, lambda run: run.platform.down),
         ("drain", 0.0, lambda run: run.hosts["h1-0"].draining),
     ],
@@ -314,7 +321,7 @@
     # one inside the other; one behind the other
     for spans in (((200, 3000), (2000, 700)), ((200, 2400), (1900, 2500))):
         run = Run(
-            calm(
+            simple_scenario(
                 endpoints=[EndpointPlan(1, rate=30)],
                 programs=[ProgramPlan(1.0, [1])],
                 faults=[Fault(kind, at, who, span, worth) for at, span in spans],
