--- a/tests/test_emulator_machine.py
+++ b/tests/test_emulator_machine.py
@@ -9,13 +9,13 @@
 
 from molehill.config import MS, SECOND
 from molehill.emulator.disk import Disk as VirtualDisk
-from molehill.emulator.life import Descriptor, Life, TaskSock
-from molehill.emulator.network import BUFFER, Machine, Network
+from molehill.emulator.network import BUFFER_BYTES, Machine, Network
+from molehill.emulator.process import Descriptor, EmulatedProcess, RelaySocket
 from molehill.emulator.world import World
 from molehill.runtime.kernel import Disk, Kernel
 
 
-class OnKernel:
+class KernelNet:
     """Loopback sockets; `settle` waits until what was sent has come."""
 
     def __init__(self):
@@ -46,16 +46,16 @@
             sock.close()
 
 
-class OnEmulator:
+class EmulatorNet:
     def __init__(self):
         self.world = World(7)
-        self.network, self.steps = Network(self.world, pieces=0.3), []
-        self.place, self.fds, self.most = Machine(self.world, "n"), {}, 1 << 30
+        self.network, self.steps = Network(self.world, partial_share=0.3), []
+        self.place, self.descriptors, self.most = Machine(self.world, "n"), {}, 1 << 30
         self.step = lambda what, size=0: self.steps.append(what) or size
-        self.poke, self.most_fds = lambda fd: None, lambda: self.most
-        self.place.make_sock = TaskSock
+        self.wake_if_ready, self.descriptor_limit = lambda fd: None, lambda: self.most
+        self.place.make_sock = RelaySocket
 
-    give_fd = Life.give_fd
+    allocate_descriptor = EmulatedProcess.allocate_descriptor
 
     def listener(self, backlog=16):
         sock = self.tcp()
@@ -64,7 +64,7 @@
         return sock, ("10.0.0.1", 1)
 
     def tcp(self):
-        return Descriptor(self, TaskSock(self.network, self.place))
+        return Descriptor(self, RelaySocket(self.network, self.place))
 
     def settle(self, span=50 * MS):
         self.world.run(self.world.now + span)
@@ -76,7 +76,7 @@
         pass
 
 
-@pytest.fixture(params=[OnKernel, OnEmulator])
+@pytest.fixture(params=[KernelNet, EmulatorNet])
 def net(request):
     made = request.param()
     yield made
@@ -93,7 +93,7 @@
     )
     theirs, _ = listener.accept()
     theirs.setblocking(False)
-    if isinstance(net, OnKernel):
+    if isinstance(net, KernelNet):
         net.open.append(theirs)
     return ours, theirs
 
@@ -153,7 +153,7 @@
     with pytest.raises(BlockingIOError):
         for _ in range(100_000):
             sent += ours.send(b"z" * 65536)
-    assert not net.mask(ours) & select.POLLOUT and sent >= BUFFER
+    assert not net.mask(ours) & select.POLLOUT and sent >= BUFFER_BYTES
     assert len(read(net, theirs, sent, 100_000)) == sent
     net.settle()
     assert net.mask(ours) & select.POLLOUT
@@ -220,7 +220,7 @@
 
 
 def test_silence_resets_after_a_return_full_backlogs_and_few_descriptors():
-    net = OnEmulator()
+    net = EmulatorNet()
     ours, theirs = pair(net)
     far = Machine(net.world, "far")
     answers = []
@@ -246,8 +246,8 @@
         talking.recv(1)
     net.settle(2 * SECOND)
     assert late.mask() & select.POLLOUT, "it is asked again, as kernels do"
-    net.most = len(net.fds)
-    listener = next(d for d in net.fds.values() if d.listening)
+    net.most = len(net.descriptors)
+    listener = next(d for d in net.descriptors.values() if d.listening)
     listener.file.backlog = 1
     first, second = [
         net.network.connect(Machine(net.world, "m"), ("10.0.0.1", 1)) for _ in range(2)
@@ -284,17 +284,17 @@
     assert disk.write(fd, b"x" * 1000) == 1000 and disk.write(fd, b"y" * 100) == 24
     with pytest.raises(OSError) as caught:
         disk.write(fd, b"z")
-    assert caught.value.errno == errno.ENOSPC and disk.used() == 1024
+    assert caught.value.errno == errno.ENOSPC and disk.used_bytes() == 1024
     disk.truncate(fd, 0)
     disk.seek(fd, 0)
-    disk.short, disk.failing = 1.0, None
+    disk.short_write_share, disk.write_errno = 1.0, None
     assert 0 < disk.write(fd, b"x" * 100) < 100
-    disk.failing = errno.EIO
+    disk.write_errno = errno.EIO
     for call in (lambda: disk.write(fd, b"x"), lambda: disk.rename("f", "g")):
         with pytest.raises(OSError):
             call()
     before = disk.read("f")
-    disk.spoil("f")
+    disk.corrupt("f")
     assert sum(a != b for a, b in zip(before, disk.read("f"))) == 1
-    disk.lose()
+    disk.erase()
     assert not disk.exists("f")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -18,8 +18,8 @@
 from molehill.cli.__main__ import main
 from molehill.config import MS
 from molehill.emulator import scenario as scenarios
-from molehill.emulator.days import calm
 from molehill.emulator.run import Run
+from molehill.emulator.sample_scenarios import simple_scenario
 from molehill.emulator.scenario import Fault, FleetPlan
 from molehill.emulator.world import START
 from molehill.fleet import checker, members, play
@@ -125,7 +125,7 @@
     ],
 )
 def test_each_property_of_membership_finds_its_breach(tmp_path, logs, name):
-    scenario = calm(
+    scenario = simple_scenario(
         relays=3,
         fleet=FleetPlan({"roundMs": 100, "aloneAfterMs": 400}),
         faults=[Fault("cut", 1000, "relays>relay2", 9000)],
@@ -139,7 +139,7 @@
 
 
 def test_views_that_have_had_no_time_to_agree_are_unknown_and_later_ones_are_judged(tmp_path):
-    scenario = calm(
+    scenario = simple_scenario(
         relays=2,
         fleet=FleetPlan({"roundMs": 100, "aloneAfterMs": 400}),
         faults=[Fault("cut", 1000, "relay0>relay1", 500)],
@@ -260,7 +260,7 @@
     """A cable process's inside, with two relays' sockets at its ends and no script but the test's."""
 
     def __init__(self, *faults):
-        self.scenario = calm(relays=2, faults=list(faults))
+        self.scenario = simple_scenario(relays=2, faults=list(faults))
         self.slot, self.claim = claim()
         self.world, places = World("cables", 1), Places(self.slot)
         self.network, self.script = Network(self.world, ["relay0", "relay1"]), Run(self.scenario)
@@ -433,13 +433,15 @@
 
 def test_what_nobody_saw_is_unknown_and_not_kept():
     assert (
-        words(checker.check(History([]), calm(), {"six rules": checker.six_rules}))["six rules"]
+        words(checker.check(History([]), simple_scenario(), {"six rules": checker.six_rules}))[
+            "six rules"
+        ]
         == checker.UNKNOWN
     )
     open_end = one_call((10, "h1-0", "call", called("1", "h1-0", 1)))
-    assert checker.six_rules(open_end, calm())[0].word == checker.UNKNOWN
+    assert checker.six_rules(open_end, simple_scenario())[0].word == checker.UNKNOWN
     kept = one_call((10, "h1-0", "call", called("1", "h1-0", 1)), ANSWERED)
-    assert checker.six_rules(kept, calm())[0].word == checker.KEPT
+    assert checker.six_rules(kept, simple_scenario())[0].word == checker.KEPT
 
 
 @pytest.mark.parametrize(
@@ -456,13 +458,16 @@
         (190, "h1-1", "call", called("3", "h1-1", 3)),
         (195, "h1-1", "call answered", dict(call="3", status=200, wait=0, ids=["a.1"])),
     ]
-    twice = replace(calm(), categories=[replace(c, effect="idempotent") for c in calm().categories])
+    twice = replace(
+        simple_scenario(),
+        categories=[replace(c, effect="idempotent") for c in simple_scenario().categories],
+    )
     found = checker.six_rules(one_call(*rows, doubt=doubt), twice)[0]
     assert found.word == word, found
 
 
 def test_a_fault_that_touched_nothing_voids_the_run():
-    scenario = calm(
+    scenario = simple_scenario(
         relays=2,
         faults=[
             Fault("kill", 100, "relay0"),
@@ -493,12 +498,14 @@
         ("conductor", 2000 * MS, checker.VOID),
     ):
         history.late = {process: late}
-        assert checker.in_time(history, calm())[0].word == word
+        assert checker.in_time(history, simple_scenario())[0].word == word
     history.late = {"hosts": 0}
     (tmp_path / "relay0.log").write_text("event='counts' relay='relay0' stood_ms=400\n")
-    assert checker.in_time(history, calm())[0].word == checker.VOID
+    assert checker.in_time(history, simple_scenario())[0].word == checker.VOID
     assert (
-        checker.in_time(history, calm(faults=[Fault("freeze", 100, "relay0", 400)]))[0].word
+        checker.in_time(history, simple_scenario(faults=[Fault("freeze", 100, "relay0", 400)]))[
+            0
+        ].word
         == checker.KEPT
     )
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -14,8 +14,8 @@
 from msgspec.structs import replace
 
 from molehill import config as configuration
-from molehill.emulator.days import calm, upgraded
 from molehill.emulator.run import Run
+from molehill.emulator.sample_scenarios import simple_scenario, upgrade_scenario
 from molehill.emulator.scenario import Fault, FleetPlan
 from molehill.emulator.world import START
 from molehill.membership.codec import (
@@ -548,7 +548,7 @@
     for step in range(5, 140, 27):
         run = Run(
             replace(
-                upgraded(kind, step, span),
+                upgrade_scenario(kind, step, span),
                 relays=3,
                 fleet=FleetPlan({"roundMs": 250, "aloneAfterMs": 1000}),
             )
@@ -578,7 +578,7 @@
         Fault("upgrade", 3500, "relay0"),
     ]
     run = Run(
-        calm(
+        simple_scenario(
             relays=4,
             span_ms=9000,
             fleet=FleetPlan({"roundMs": 250, "aloneAfterMs": 1000}, seeds=2),
@@ -602,7 +602,7 @@
     )
     # The next process of an upgrade is the same member to others: nobody suspected it or saw
     # another generation.
-    lines = [line for node in run.nodes.values() for _, line in node.lines]
+    lines = [line for node in run.nodes.values() for _, line in node.log_lines]
     assert not [
         line
         for line in lines
--- a/tests/test_referee.py
+++ b/tests/test_referee.py
@@ -3,7 +3,7 @@
 import pytest
 
 from molehill.config import MS, SECOND
-from molehill.emulator.referee import LOST, Referee
+from molehill.emulator.referee import LOST_AFTER, Referee
 from molehill.emulator.scenario import Category, EndpointPlan, ProgramPlan, Scenario
 from molehill.emulator.world import START, World
 
@@ -106,7 +106,7 @@
 
 def lost(day):
     day.take(0, "a", span=1000)
-    return 1000 + LOST // MS + 1
+    return 1000 + LOST_AFTER // MS + 1
 
 
 def noticed(day):
