--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -35,12 +35,12 @@
     Scenario,
     check,
 )
-from molehill.fleet import days, figures, history, play
-from molehill.fleet.cable import Cables
-from molehill.fleet.compare import interval
-from molehill.fleet.conductor import cpu_of
+from molehill.fleet import figures, generator, history, play
+from molehill.fleet.addresses import AddressPlan, claim_slot
+from molehill.fleet.compare import confidence_interval
+from molehill.fleet.conductor import cpu_seconds
 from molehill.fleet.mutations import MUTATIONS as OF_THE_RIG
-from molehill.fleet.places import Places, claim
+from molehill.fleet.proxy import Proxies
 from molehill.fleet.sockets import Network
 from molehill.fleet.world import World
 
@@ -64,7 +64,11 @@
 def first(mistake: str, seeds: int, stage: str, rig: bool):
     """(seed, word, text) of the first day that shows it and is kept without it; None if none does."""
     for seed in range(1, seeds + 1):
-        day = cut_day(seed) if rig else days.drawn(seed, ways=0, weights=OF_RELAYS[mistake])
+        day = (
+            cut_day(seed)
+            if rig
+            else generator.draw_scenario(seed, path_faults=0, weights=OF_RELAYS[mistake])
+        )
         verdict = play.play(day, stage, **{"rig_mistake" if rig else "mistake": mistake})
         rows = [
             row
@@ -81,7 +85,7 @@
 
 
 def cut_day(seed: int) -> Scenario:
-    return play.seeded(scenarios.load(FIVE.read_text(encoding="utf-8")), seed)
+    return play.with_seed(scenarios.load(FIVE.read_text(encoding="utf-8")), seed)
 
 
 def mutations(seeds: int, jobs: int = 2) -> None:
@@ -234,18 +238,18 @@
 
 def cables(many: int = 5000) -> None:
     """Round trips of 100-byte datagrams: straight, through a cable process, and straight with the faults drawn in the sender's process."""
-    slot, held = claim()
-    scenario, places = simple_scenario(relays=2), Places(slot)
+    slot, held = claim_slot()
+    scenario, address_plan = simple_scenario(relays=2), AddressPlan(slot)
     ends = []
     for n in (0, 1):
         ends.append(socket.socket(socket.AF_INET, socket.SOCK_DGRAM))
-        ends[n].bind((places.relay(n)[0], 7000))
+        ends[n].bind((address_plan.relay(n)[0], 7000))
         ends[n].settimeout(2)
     other = get_context("fork").Process(target=serve_cables, args=(scenario, slot), daemon=True)
     other.start()
     # a measurement by hand: its first round trips are not counted either
     time.sleep(0.5)
-    doors = [(places.words(0, 1)[0], 8000), (places.words(1, 0)[0], 8000)]
+    doors = [(address_plan.membership(0, 1)[0], 8000), (address_plan.membership(1, 0)[0], 8000)]
     chance, row = Random(1), {}
 
     def trips(there, back, drawn=False):
@@ -267,7 +271,7 @@
     ):
         took = trips(there, back, drawn)
         row[name] = f"{took[len(took) // 2]:.0f} us, 99th {took[len(took) * 99 // 100]:.0f}"
-    spent = cpu_of(other.pid) / (2 * many) * 1e6
+    spent = cpu_seconds(other.pid) / (2 * many) * 1e6
     other.terminate()
     held.close()
     print(f"round trip: {row}; a cable's own processor time a datagram: {spent:.0f} us")
@@ -279,7 +283,7 @@
     for seed in range(1, seeds + 1):
         pair = []
         for worth in (rate, 1.0)[:: 1 if seed % 2 else -1]:
-            day = play.seeded(
+            day = play.with_seed(
                 large(
                     3, 8, 120.0, [Fault("flood", 500, f"relay{n}", 7000, worth) for n in range(3)]
                 ),
@@ -292,7 +296,7 @@
     for name in ("p50", "p99"):
         ratios = [a[1][name] / b[1][name] for a, b in rows]
         print(
-            f"{rate:.0f} forged a second and relay, {name}: {[a[1][name] for a, _ in rows]} ms for {[b[1][name] for _, b in rows]} without, ratio {interval(ratios)}, "
+            f"{rate:.0f} forged a second and relay, {name}: {[a[1][name] for a, _ in rows]} ms for {[b[1][name] for _, b in rows]} without, ratio {confidence_interval(ratios)}, "
             f"{[a[2] for a, _ in rows]}",
             flush=True,
         )
@@ -300,11 +304,11 @@
 
 def serve_cables(scenario, slot: int) -> None:
     world = World("cables", 1)
-    Cables(
+    Proxies(
         world,
         Network(world, ["relay0", "relay1"]),
         scenario,
-        Places(slot),
+        AddressPlan(slot),
         [("relay0", "relay1"), ("relay1", "relay0")],
     )
     world.run()
--- a/molehill/cli/fleet.py
+++ b/molehill/cli/fleet.py
@@ -19,7 +19,7 @@
 from molehill.emulator import scenario as scenarios
 from molehill.emulator.mutations import MUTATIONS
 from molehill.emulator.scenario import STAGES
-from molehill.fleet import checker, days
+from molehill.fleet import checker, generator
 from molehill.fleet import compare as compares
 from molehill.fleet import play as plays
 from molehill.fleet import show as stories
@@ -40,9 +40,15 @@
 def load_or_draw_scenario(path, stage, seed=None, members=False, soak=False):
     """Loads a file's scenario, with another seed if one is given; without a file, draws one."""
     if path is None and seed is not None:
-        return days.of_members(seed) if members else days.soaked(seed) if soak else days.drawn(seed)
+        return (
+            generator.draw_membership_scenario(seed)
+            if members
+            else generator.draw_soak_scenario(seed)
+            if soak
+            else generator.draw_scenario(seed)
+        )
     scenario = load_scenario(path, None, (), stage)
-    return scenario if seed is None else plays.seeded(scenario, seed)
+    return scenario if seed is None else plays.with_seed(scenario, seed)
 
 
 def play_scenario(scenario, stage: str, folder=None, older=None, mutation=None) -> dict:
@@ -54,7 +60,7 @@
         try:
             older_tree = compares.checkout(older, Path(directory)) if older else None
             return plays.play(scenario, stage, folder, older=older_tree, mistake=mutation)
-        except (scenarios.ScenarioError, compares.Unusable) as error:
+        except (scenarios.ScenarioError, compares.InvalidCandidate) as error:
             raise click.UsageError(str(error)) from None
 
 
@@ -193,7 +199,7 @@
             bar.advance(task)
             if first and verdicts[-1]["word"] == checker.BROKEN:
                 break
-    words = plays.words(verdicts)
+    words = plays.count_words(verdicts)
     print_json(
         {
             "words": words,
@@ -233,7 +239,7 @@
     """Prints the events of a callback, host, relay or span of time from a kept run."""
     directory = find_kept_run(folder)
     try:
-        lines = stories.story(directory, about, first, last)
+        lines = stories.event_lines(directory, about, first, last)
     except ValueError as error:
         raise click.UsageError(str(error)) from None
     for line in lines:
@@ -303,6 +309,6 @@
             stage,
             lambda seed, rows: click.echo(f"seed {seed}: {json.dumps(rows)}", err=True),
         )
-    except compares.Unusable as error:
+    except compares.InvalidCandidate as error:
         raise click.UsageError(str(error)) from None
     print_json(found)
--- a/molehill/fleet/places.py
+++ b/molehill/fleet/addresses.py
@@ -12,40 +12,46 @@
 import os
 import socket
 
-RELAY, DOORS, PLATFORM, HOST, WORDS = 8081, 9000, 8500, 8081, 7000
-CLAIM = 40_001  # port on 127.SLOT.0.1 that a run holds
+RELAY_PORT, FIRST_ADMIN_PORT, PLATFORM_PORT, HOST_PORT, MEMBERSHIP_PORT = (
+    8081,
+    9000,
+    8500,
+    8081,
+    7000,
+)
+CLAIM_PORT = 40_001  # port on 127.SLOT.0.1 that a run holds
 SLOTS = range(16, 240)
 
 
-class Places:
+class AddressPlan:
     def __init__(self, slot: int):
         self.slot = slot
 
     def relay(self, n: int):
-        return f"127.{self.slot}.1.{n + 1}", RELAY
+        return f"127.{self.slot}.1.{n + 1}", RELAY_PORT
 
-    def door(self, n: int, life: int):
-        return f"127.{self.slot}.1.{n + 1}", DOORS + life
+    def admin(self, n: int, start_number: int):
+        return f"127.{self.slot}.1.{n + 1}", FIRST_ADMIN_PORT + start_number
 
     def platform(self):
-        return f"127.{self.slot}.2.0", PLATFORM
+        return f"127.{self.slot}.2.0", PLATFORM_PORT
 
     def host(self, h: int):
-        return f"127.{self.slot}.{10 + h}.0", HOST
+        return f"127.{self.slot}.{10 + h}.0", HOST_PORT
 
-    def words(self, a: int, b: int):
+    def membership(self, a: int, b: int):
         """Where relay a finds relay b."""
-        return f"127.{self.slot}.{a + 1}.{b + 1}", WORDS
+        return f"127.{self.slot}.{a + 1}.{b + 1}", MEMBERSHIP_PORT
 
 
-def claim():
+def claim_slot():
     """(a slot that is this run's while the socket is open, that socket); raises OSError where all are taken."""
     first = os.getpid() % len(SLOTS)
     for n in range(len(SLOTS)):
         slot = SLOTS[(first + n) % len(SLOTS)]
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
-            sock.bind((f"127.{slot}.0.1", CLAIM))
+            sock.bind((f"127.{slot}.0.1", CLAIM_PORT))
             sock.listen(1)
             return slot, sock
         except OSError:
--- a/molehill/fleet/checker.py
+++ b/molehill/fleet/checker.py
@@ -15,17 +15,17 @@
 from molehill.fleet import members
 
 KEPT, UNKNOWN, BROKEN, VOID = "kept", "unknown", "broken", "void"
-WORDS = (VOID, BROKEN, UNKNOWN, KEPT)  # the first of them that any finding has is the run's
+VERDICT_ORDER = (VOID, BROKEN, UNKNOWN, KEPT)  # the first of them that any finding has is the run's
 # the rig late by more: void. A relay on the same cores was as late, and rule 1 leaves it 350 ms
-LATE_MOST = 250 * MS
+MAX_RIG_LATENESS = 250 * MS
 # The conductor sees nothing that is judged, and stamps what it does as it does it: it may be late behind the script by so much.
-CONDUCTOR, SCRIPT_MOST = "conductor", SECOND
+CONDUCTOR, MAX_CONDUCTOR_LATENESS = "conductor", SECOND
 # a relay that says it stood longer without having been made to: the machine's, so void
-STOOD_MOST = 250 * MS
+MAX_STALL = 250 * MS
 # a relay that stood so many times as long as any of so many others did so by itself
-ALONE_AMONG, ALONE_BY = 5, 5
-CROSSES = 5 * MS  # what is under way as a cut begins
-NEAR = SECOND  # what a kill or a pause meets counts from so long before it
+STALL_PEERS, STALL_RATIO = 5, 5
+IN_FLIGHT_TIME = 5 * MS  # what is under way as a cut begins
+EFFECT_LEAD_TIME = SECOND  # what a kill or a pause meets counts from so long before it
 
 Finding = namedtuple("Finding", "property word text facts")
 
@@ -101,7 +101,7 @@
 
 def faults_hit(history, scenario) -> list[Finding]:
     """Each fault has touched something, or the run shows nothing about it."""
-    counts = touched(history, scenario)
+    counts = count_touched(history, scenario)
     idle = [
         f"{f.kind} on {f.who} at {f.at_ms} ms"
         for f, count in zip(scenario.faults, counts)
@@ -152,7 +152,7 @@
 
 def cuts_hold(history, scenario) -> list[Finding]:
     """Counted where it would arrive, not at the cable: nothing that a relay says comes through a cut."""
-    slack = history.doubt + CROSSES
+    slack = history.doubt + IN_FLIGHT_TIME
     cuts = {}
     for fault in scenario.faults:
         for a, b in directions(scenario, fault.who) if fault.kind == "cut" else ():
@@ -180,19 +180,19 @@
     return [Finding("cuts hold", KEPT, "", {})]
 
 
-def in_time(history, scenario) -> list[Finding]:
+def rig_in_time(history, scenario) -> list[Finding]:
     """Whether the machine let the rig and the relays run as they were meant to."""
     if history.folder is None:
         return []
-    facts = {process: round(late / MS, 1) for process, late in history.late.items()}
-    silent = [process for process, late in history.late.items() if late < 0] or ["all"] * (
+    facts = {process: round(late / MS, 1) for process, late in history.lateness.items()}
+    silent = [process for process, late in history.lateness.items() if late < 0] or ["all"] * (
         not facts
     )
     if silent:
         return [Finding("rig in time", VOID, f"nothing tells how late these were: {silent}", facts)]
-    stood = most_stood(history, scenario)
-    for process, late in history.late.items():
-        bound = SCRIPT_MOST if process == CONDUCTOR else LATE_MOST
+    stood = longest_stalls(history, scenario)
+    for process, late in history.lateness.items():
+        bound = MAX_CONDUCTOR_LATENESS if process == CONDUCTOR else MAX_RIG_LATENESS
         if late > bound:
             return [
                 Finding(
@@ -202,7 +202,7 @@
                     facts,
                 )
             ]
-    if stands_by_itself(stood, history.late):
+    if stalled_alone(stood, history.lateness):
         return [
             Finding(
                 "rig in time",
@@ -211,10 +211,10 @@
                 facts,
             )
         ]
-    if stood and max(stood.values()) > STOOD_MOST / MS:
+    if stood and max(stood.values()) > MAX_STALL / MS:
         return [
             Finding(
-                "rig in time", VOID, f"relays stood {stood} ms, {STOOD_MOST // MS} at most", facts
+                "rig in time", VOID, f"relays stood {stood} ms, {MAX_STALL // MS} at most", facts
             )
         ]
     return [
@@ -224,18 +224,18 @@
     ]
 
 
-def stands_by_itself(stood: dict, late: dict) -> bool:
+def stalled_alone(stood: dict, late: dict) -> bool:
     """Whether one relay stood, and not the machine: no stand-in and no other relay was late by anything like it. `stood` in ms."""
     spans = sorted(stood.values())
-    if len(spans) < ALONE_AMONG or spans[-1] <= STOOD_MOST / MS:
+    if len(spans) < STALL_PEERS or spans[-1] <= MAX_STALL / MS:
         return False
     others = max(
         [spans[-2], *(span / MS for process, span in late.items() if process != CONDUCTOR)]
     )
-    return spans[-1] > ALONE_BY * others
+    return spans[-1] > STALL_RATIO * others
 
 
-def most_stood(history, scenario) -> dict:
+def longest_stalls(history, scenario) -> dict:
     """Relay -> ms that it stood at most by its own word, for those that nothing of the script made stand."""
     made_to = {f.who for f in scenario.faults if f.kind in ("freeze", "starve", "upgrade")}
     found = {}
@@ -251,7 +251,7 @@
     return found
 
 
-def figures_true(history, scenario) -> list[Finding]:
+def figures_consistent(history, scenario) -> list[Finding]:
     """What relays count themselves beside what their clients and hosts saw: callbacks ended at relays that never ended or were cut off."""
     if history.folder is None:
         return []  # the emulator's recount does it
@@ -314,7 +314,7 @@
                 {},
             )
         ]
-    if not members.says(history.folder, history):
+    if not members.membership_events(history.folder, history):
         return [Finding("membership", BROKEN, "no relay said a word of others", {})]
     return [
         Finding(name, word, text, facts)
@@ -323,41 +323,45 @@
 
 
 # What was there for a fault to touch: kind -> (how long before it counts too, what of the history it touches)
-def of_relay(fault, who, what, facts) -> bool:
+def touches_relay(fault, who, what, facts) -> bool:
     return what in ("asked", "call", "notice") and facts.get("relay") == fault.who
 
 
-def of_host(fault, who, what, facts) -> bool:
+def touches_host(fault, who, what, facts) -> bool:
     return what == "call" and facts["host"] == fault.who
 
 
-def refusals(fault, who, what, facts) -> bool:
+def touches_refusal(fault, who, what, facts) -> bool:
     return what == "call answered" and facts["status"] == 429
 
 
-def any_call(fault, who, what, facts) -> bool:
+def touches_call(fault, who, what, facts) -> bool:
     return what == "call"
 
 
-def of_platform(fault, who, what, facts) -> bool:
+def touches_platform(fault, who, what, facts) -> bool:
     return what in ("notice", "told")
 
 
-TOUCHES = {"relay": (NEAR, of_relay), "host": (NEAR, of_host), "platform": (NEAR, any_call)}
-BY_KIND = {
-    "lower": (0, refusals),
-    "lost_answers": (0, of_platform),
-    "silent": (0, of_host),
-    "erring": (0, of_host),
-    "refusing": (0, of_host),
-    "shut": (0, of_host),
-    "slow": (0, of_host),
-    "spoilt": (0, of_host),
-    "drain": (NEAR, of_host),
+EFFECTS_BY_TARGET = {
+    "relay": (EFFECT_LEAD_TIME, touches_relay),
+    "host": (EFFECT_LEAD_TIME, touches_host),
+    "platform": (EFFECT_LEAD_TIME, touches_call),
+}
+EFFECTS_BY_KIND = {
+    "lower": (0, touches_refusal),
+    "lost_answers": (0, touches_platform),
+    "silent": (0, touches_host),
+    "erring": (0, touches_host),
+    "refusing": (0, touches_host),
+    "shut": (0, touches_host),
+    "slow": (0, touches_host),
+    "spoilt": (0, touches_host),
+    "drain": (EFFECT_LEAD_TIME, touches_host),
 }
 
 
-def touched(history, scenario) -> list[int]:
+def count_touched(history, scenario) -> list[int]:
     """For each fault of the scenario, how much of what happened it touched."""
     times = [row[0] for row in history.rows]
     did, hits = Counter(), Counter()
@@ -375,7 +379,7 @@
         if history.folder is not None and FAULTS[fault.kind] == "relay" and not hits[place]:
             found.append(0)  # the signal met nobody
             continue
-        before, touches = BY_KIND.get(fault.kind, TOUCHES[FAULTS[fault.kind]])
+        before, touches = EFFECTS_BY_KIND.get(fault.kind, EFFECTS_BY_TARGET[FAULTS[fault.kind]])
         begun = START + fault.at_ms * MS
         first, last = (
             bisect_left(times, begun - before),
@@ -390,8 +394,8 @@
     "no crash": no_crash,
     "invariants": invariants,
     "faults hit": faults_hit,
-    "rig in time": in_time,
-    "figures": figures_true,
+    "rig in time": rig_in_time,
+    "figures": figures_consistent,
     "causes first": causes_first,
     "cuts hold": cuts_hold,
     "membership": membership,
@@ -406,7 +410,7 @@
         for finding in look(history, scenario)
     ]
     words = {finding.word for finding in findings}
-    word = next((w for w in WORDS if w in words), UNKNOWN)
+    word = next((w for w in VERDICT_ORDER if w in words), UNKNOWN)
     return {
         "word": word,
         "ok": word == KEPT,
--- a/molehill/fleet/compare.py
+++ b/molehill/fleet/compare.py
@@ -13,12 +13,12 @@
 from molehill.emulator import scenario as scenarios
 from molehill.fleet import figures, history
 from molehill.fleet import play as plays
-from molehill.fleet.conductor import TREE
+from molehill.fleet.conductor import CHECKOUT
 
 DRAWS, SHARE = 2000, 0.95  # of the bootstrap; how much of it the interval holds
 
 
-class Unusable(ValueError):
+class InvalidCandidate(ValueError):
     """A side of a comparison that is neither a commit nor settings; the text names it."""
 
 
@@ -26,23 +26,23 @@
     """The program as of that commit, laid into `folder`. Raises Unusable."""
     folder.mkdir(parents=True, exist_ok=True)
     packed = subprocess.run(
-        ["git", "-C", str(TREE), "archive", revision], capture_output=True, check=False
+        ["git", "-C", str(CHECKOUT), "archive", revision], capture_output=True, check=False
     )
     if packed.returncode:
-        raise Unusable(
+        raise InvalidCandidate(
             f"{revision}: neither a commit here nor KEY=VALUE: {packed.stderr.decode(errors='replace').strip()[:200]}"
         )
     subprocess.run(["tar", "-x", "-C", str(folder)], input=packed.stdout, check=True)
     return folder
 
 
-def changed(scenario, text: str):
+def with_settings(scenario, text: str):
     """The scenario with `key=value,key=value` of its own plain fields. Raises Unusable."""
     rows = msgspec.to_builtins(scenario)
     for part in text.split(","):
         key, _, value = part.partition("=")
         if key not in scenario.__struct_fields__ or isinstance(getattr(scenario, key), list):
-            raise Unusable(f"{key}: no plain field of a scenario")
+            raise InvalidCandidate(f"{key}: no plain field of a scenario")
         try:
             rows[key] = json.loads(value)
         except ValueError:
@@ -50,20 +50,20 @@
     try:
         return scenarios.check(msgspec.convert(rows, scenarios.Scenario))
     except (msgspec.ValidationError, scenarios.ScenarioError) as error:
-        raise Unusable(f"{text}: {error}") from None
+        raise InvalidCandidate(f"{text}: {error}") from None
 
 
-class Side:
+class Candidate:
     def __init__(self, text: str, scenario, folder: Path):
         self.text, self.scenario, self.tree = text, scenario, None
         if "=" in text:
-            self.scenario = changed(scenario, text)
+            self.scenario = with_settings(scenario, text)
         else:
             self.tree = checkout(text, folder)
 
     def play(self, seed: int, stage: str) -> dict:
         """`word`, `service`, and on processes the 99th percentile of delivery."""
-        scenario = plays.seeded(self.scenario, seed)
+        scenario = plays.with_seed(self.scenario, seed)
         # a commit's own emulator plays its own relay
         if stage == "emulated" and self.tree is not None:
             with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
@@ -78,7 +78,7 @@
                     check=False,
                 )
             if done.returncode not in (0, 1):
-                raise Unusable(f"{self.text}: {done.stderr.strip()[-300:]}")
+                raise InvalidCandidate(f"{self.text}: {done.stderr.strip()[-300:]}")
             told = json.loads(done.stdout)
             return {"word": "kept" if told["ok"] else "broken", "service": told["service"]}
         with tempfile.TemporaryDirectory(prefix="molehill-compare-") as folder:
@@ -89,7 +89,7 @@
             return row
 
 
-def interval(ratios, seed: int = 1):
+def confidence_interval(ratios, seed: int = 1):
     """Mean of the ratios and the bounds that hold SHARE of bootstrap means."""
     chance = Random(seed)
     means = sorted(mean(chance.choices(ratios, k=len(ratios))) for _ in range(DRAWS))
@@ -105,7 +105,9 @@
 def compare(scenario, a: str, b: str, seeds, stage: str, told=lambda seed, rows: None) -> dict:
     """B beside A, in turn on each seed: word counts, and for each figure the ratio B/A over pairs of which neither was void."""
     with tempfile.TemporaryDirectory(prefix="molehill-trees-") as trees:
-        sides = [Side(text, scenario, Path(trees) / name) for name, text in (("a", a), ("b", b))]
+        sides = [
+            Candidate(text, scenario, Path(trees) / name) for name, text in (("a", a), ("b", b))
+        ]
         pairs = []
         for n, seed in enumerate(seeds):
             # neither is always the second on a warm machine
@@ -113,7 +115,7 @@
             rows = {side.text: side.play(seed, stage) for side in order}
             pairs.append([rows[side.text] for side in sides])
             told(seed, rows)
-    found = {"words": [plays.words(row) for row in zip(*pairs)]}
+    found = {"words": [plays.count_words(row) for row in zip(*pairs)]}
     for name in ("service", "p99_ms"):
         usable = [
             (x[name], y[name])
@@ -121,5 +123,5 @@
             if x.get(name) and y.get(name) and "void" not in (x["word"], y["word"])
         ]
         if usable:
-            found[name] = interval([y / x for x, y in usable])
+            found[name] = confidence_interval([y / x for x, y in usable])
     return found
--- a/molehill/fleet/conductor.py
+++ b/molehill/fleet/conductor.py
@@ -26,45 +26,52 @@
 from molehill.emulator.scenario import FAULTS, SHIMMED, directions
 from molehill.emulator.script import Script, fleet_settings, relay_settings
 from molehill.emulator.world import START
-from molehill.fleet.party import PARENT_GONE, Spec
-from molehill.fleet.places import WORDS, Places, claim
+from molehill.fleet.addresses import MEMBERSHIP_PORT, AddressPlan, claim_slot
+from molehill.fleet.party import PR_SET_PDEATHSIG, Spec
 from molehill.fleet.shims import write_control
-from molehill.fleet.sockets import CABLE, Network
+from molehill.fleet.sockets import PROXY_PORT_OFFSET, Network
 from molehill.fleet.world import IN, World
 
 # how often children are looked at, and a door asked that has not said yes
-LOOK = 10 * MS
-START_WITHIN = 30 * SECOND  # for all to be up; beyond it the run is void
-READ_WITHIN = 2 * SECOND  # for figures at the end
-TREE = Path(__file__).resolve().parents[2]
+POLL_INTERVAL = 10 * MS
+START_TIMEOUT = 30 * SECOND  # for all to be up; beyond it the run is void
+READ_TIMEOUT = 2 * SECOND  # for figures at the end
+CHECKOUT = Path(__file__).resolve().parents[2]
 STARTING, SERVING, ENDING, GONE = "starting", "serving", "ending", "gone"
-BUSY = "import os\nwhile os.getppid() == %d: pass"
+BUSY_LOOP = "import os\nwhile os.getppid() == %d: pass"
 
 
-class NotPlayed(Exception):
+class RigError(Exception):
     """The rig could not play the run; the text says why."""
 
 
-def dies_with(parent: int):
+def kill_with_parent(parent: int):
     """For the child before its program begins."""
     libc = ctypes.CDLL(None)
 
-    def tie() -> None:
-        libc.prctl(PARENT_GONE, signal.SIGKILL, 0, 0, 0)
+    def set_death_signal() -> None:
+        libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
         if os.getppid() != parent:  # gone before the kernel was told
             os._exit(1)
 
-    return tie
+    return set_death_signal
 
 
-class Life:
+class RelayProcess:
     """One process of a relay."""
 
-    def __init__(self, number: int, child, door):
-        self.number, self.child, self.door, self.state, self.wanted, self.asking = (
+    def __init__(self, number: int, child, admin_address):
+        (
+            self.number,
+            self.child,
+            self.admin_address,
+            self.state,
+            self.wanted,
+            self.request_pending,
+        ) = (
             number,
             child,
-            door,
+            admin_address,
             STARTING,
             False,
             False,
@@ -72,12 +79,12 @@
 
 
 class Relay:
-    """`lives`: its processes that are there; two at once are an upgrade. `owner`: the one that serves."""
+    """`processes`: its processes that are there; two at once are an upgrade. `owner`: the one that serves."""
 
     def __init__(self, run, n: int):
         self.run, self.world, self.n, self.name = run, run.world, n, f"relay{n}"
         self.folder, self.file = run.folder / f"{self.name}.state", run.folder / f"{self.name}.json"
-        self.lives, self.owner, self.number, self.retuned, self.hook, self.is_older = (
+        self.processes, self.owner, self.number, self.retuned, self.hook, self.is_older = (
             [],
             None,
             0,
@@ -85,8 +92,8 @@
             {},
             False,
         )
-        self.hand_overs = 0  # that its processes have said, as of the last look
-        self.shim, self.wrong = run.folder / f"{self.name}.shim", {}
+        self.handovers_logged = 0  # that its processes have said, as of the last look
+        self.shim, self.shim_faults = run.folder / f"{self.name}.shim", {}
         if any(fault.kind in SHIMMED and fault.who == self.name for fault in run.scenario.faults):
             self.hook = {"shim": str(self.shim)}
 
@@ -94,18 +101,18 @@
     def up(self) -> bool:
         return self.owner is not None and self.owner.state == SERVING
 
-    def write_file(self, door=None) -> None:
-        run, places = self.run, self.run.places
+    def write_file(self, admin_address=None) -> None:
+        run, address_plan = self.run, self.run.address_plan
         address = run.network.address_seen_by(self.name, run.platform_at, "platform")
         given = relay_settings(
             run.scenario,
             self.name,
             f"{run.scenario.seed:x}{self.number:x}",
-            places.relay(self.n),
+            address_plan.relay(self.n),
             address,
             run.known(self.name),
             str(self.folder),
-            door or places.door(self.n, self.number),
+            admin_address or address_plan.admin(self.n, self.number),
             self.retuned,
             self.fleet(),
         )
@@ -115,20 +122,26 @@
 
     def fleet(self) -> dict:
         """Told only the cables at which it finds the others; a seed may be any of them, so it has an address for each."""
-        places = self.run.places
-        doors = {
-            f"relay{other}": (lambda host, port: (host, port + CABLE))(*places.words(self.n, other))
+        address_plan = self.run.address_plan
+        peer_addresses = {
+            f"relay{other}": (lambda host, port: (host, port + PROXY_PORT_OFFSET))(
+                *address_plan.membership(self.n, other)
+            )
             for other in range(self.run.scenario.relays)
         }
         return fleet_settings(
-            self.run.scenario, self.name, (places.relay(self.n)[0], WORDS), doors, seed_all=True
+            self.run.scenario,
+            self.name,
+            (address_plan.relay(self.n)[0], MEMBERSHIP_PORT),
+            peer_addresses,
+            seed_all=True,
         )
 
-    def start(self) -> Life:
+    def start(self) -> RelayProcess:
         self.number += 1
-        door = self.run.places.door(self.n, self.number)
-        self.write_file(door)
-        if not self.lives:
+        admin_address = self.run.address_plan.admin(self.n, self.number)
+        self.write_file(admin_address)
+        if not self.processes:
             self.world.tell(self.name, "started", life=self.number)
         with open(self.run.folder / f"{self.name}.log", "ab") as log:
             tree = self.run.older if self.is_older else self.run.tree
@@ -139,11 +152,11 @@
                 stdin=subprocess.DEVNULL,
                 env={**os.environ, "ROUTER_CONFIG": str(self.file), "PYTHONPATH": str(tree)},
             )
-        life = Life(self.number, child, door)
-        self.lives.append(life)
+        process = RelayProcess(self.number, child, admin_address)
+        self.processes.append(process)
         if self.owner is None:
-            self.owner = life
-        return life
+            self.owner = process
+        return process
 
     def program(self) -> list[str]:
         """The program itself, or with a hook of the rig's where one is asked for."""
@@ -154,62 +167,62 @@
             else ["molehill"]
         )
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Once every LOOK: who is gone, who is ready."""
-        for life in list(self.lives):
-            if life.child.poll() is not None:
-                self.gone(life)
-            elif life.state == STARTING and not life.asking:
-                self.ask(life)
+        for process in list(self.processes):
+            if process.child.poll() is not None:
+                self.handle_exit(process)
+            elif process.state == STARTING and not process.request_pending:
+                self.request_ready(process)
 
-    def ask(self, life) -> None:
-        life.asking, reader = True, MessageReader()
+    def request_ready(self, process) -> None:
+        process.request_pending, reader = True, MessageReader()
 
-        def came(sock, data, sent_at) -> None:
+        def on_data(sock, data, sent_at) -> None:
             for first, *_ in reader.feed(data, sent_at):
-                if first.split(" ")[1] == "200" and life.state == STARTING:
-                    self.ready(life)
+                if first.split(" ")[1] == "200" and process.state == STARTING:
+                    self.mark_ready(process)
 
         def over(sock) -> None:
             sock.close()
-            life.asking = False
+            process.request_pending = False
 
         self.run.network.connect(
             self.run.machine,
-            life.door,
-            came,
+            process.admin_address,
+            on_data,
             over,
             over,
             lambda sock: sock.put(request("GET", "/ready")),
         )
 
-    def ready(self, life) -> None:
-        life.state = SERVING
-        if life is self.owner:
-            self.run.tell_all(self.name, "ready", life=life.number)
+    def mark_ready(self, process) -> None:
+        process.state = SERVING
+        if process is self.owner:
+            self.run.tell_parties(self.name, "ready", life=process.number)
             return
-        before, self.owner = self.owner, life
-        self.world.tell(self.name, "took over", life=life.number)
+        before, self.owner = self.owner, process
+        self.world.tell(self.name, "took over", life=process.number)
         self.handed_over()
         if before.child.poll() is None:
             before.state, before.wanted = ENDING, True
             before.child.send_signal(signal.SIGTERM)
             self.world.after(TERMINATION_TIMEOUT, self.run.end_child, before.child)
 
-    def gone(self, life) -> None:
-        self.lives.remove(life)
-        life.state, code = GONE, life.child.returncode
-        if not life.wanted:
-            self.world.tell(self.name, "crashed", life=life.number, code=code)
-        if life is not self.owner:
+    def handle_exit(self, process) -> None:
+        self.processes.remove(process)
+        process.state, code = GONE, process.child.returncode
+        if not process.wanted:
+            self.world.tell(self.name, "crashed", life=process.number, code=code)
+        if process is not self.owner:
             return
-        self.owner = next(iter(self.lives), None)
+        self.owner = next(iter(self.processes), None)
         if self.owner is not None and self.handed_over():
             return
-        self.run.tell_all(self.name, "killed" if code < 0 else "ended", life=life.number)
-        self.world.tell(self.name, "left on disk", file=self.image(life))
+        self.run.tell_parties(self.name, "killed" if code < 0 else "ended", life=process.number)
+        self.world.tell(self.name, "left on disk", file=self.save_folder(process))
         if self.owner is None:
-            self.world.after(RESTART_DELAY, self.again)
+            self.world.after(RESTART_DELAY, self.restart_if_gone)
         # one that waits for the folder: what it does is another life's
         else:
             self.world.tell(self.name, "started", life=self.owner.number)
@@ -221,20 +234,20 @@
             .read_text(encoding="utf-8", errors="replace")
             .count("event='handed over'")
         )
-        newly, self.hand_overs = said > self.hand_overs, said
+        newly, self.handovers_logged = said > self.handovers_logged, said
         return newly
 
-    def image(self, life) -> str:
+    def save_folder(self, process) -> str:
         """What it left in its folder, kept for the checker."""
-        kept = self.run.folder / f"{self.name}.left{life.number}"
+        kept = self.run.folder / f"{self.name}.left{process.number}"
         with open(kept, "wb") as out:
             for path in sorted(self.folder.glob("*")) if self.folder.exists() else ():
                 if path.is_file():
                     out.write(path.read_bytes())
         return kept.name
 
-    def again(self) -> None:
-        if not self.lives and not self.run.over:
+    def restart_if_gone(self) -> None:
+        if not self.processes and not self.run.over:
             self.start()
 
     # What falls on it
@@ -253,10 +266,10 @@
             self.owner.child.kill()
         return hit
 
-    def goes_wrong(self, key: str, value) -> None:
+    def set_shim_fault(self, key: str, value) -> None:
         """In its process from now on, and in those after it; None: no longer."""
-        self.wrong = {**self.wrong, key: value}
-        write_control(self.shim, self.wrong)
+        self.shim_faults = {**self.shim_faults, key: value}
+        write_control(self.shim, self.shim_faults)
 
     def set_limit(self, which, value) -> None:
         """Of the process that serves; back to what it was with `value` None."""
@@ -280,21 +293,27 @@
         self.scenario, self.folder, self.tree = (
             scenarios.for_stage(scenario, "processes"),
             Path(folder),
-            Path(tree or TREE),
+            Path(tree or CHECKOUT),
         )
         self.prepare()
         self.folder.mkdir(parents=True, exist_ok=True)
         self.children, self.parties, self.over, self.platform, self.hosts = [], {}, False, None, {}
-        self.slot, self.claim = claim()
-        self.places, names = Places(self.slot), [f"relay{n}" for n in range(scenario.relays)]
-        self.cabled = cabled(scenario)
+        self.slot, self.claim = claim_slot()
+        self.address_plan, names = (
+            AddressPlan(self.slot),
+            [f"relay{n}" for n in range(scenario.relays)],
+        )
+        self.proxied = proxied_pairs(scenario)
         self.world = World("conductor", scenario.seed, self.folder / "conductor.history")
-        self.network = Network(self.world, names, self.cabled)
-        self.machine, self.platform_at = self.network.machine("conductor"), self.places.platform()
+        self.network = Network(self.world, names, self.proxied)
+        self.machine, self.platform_at = (
+            self.network.machine("conductor"),
+            self.address_plan.platform(),
+        )
         self.relays = {name: Relay(self, n) for n, name in enumerate(names)}
 
     def child(self, words, **given):
-        made = subprocess.Popen(words, preexec_fn=dies_with(os.getpid()), **given)
+        made = subprocess.Popen(words, preexec_fn=kill_with_parent(os.getpid()), **given)
         self.children.append(made)
         return made
 
@@ -306,7 +325,8 @@
         rows = [
             {
                 "name": name,
-                "address": "%s:%d" % self.network.address_seen_by(relay, self.places.host(h), name),
+                "address": "%s:%d"
+                % self.network.address_seen_by(relay, self.address_plan.host(h), name),
                 "zone": plan.zone,
                 "type": plan.kind,
                 "group": plan.destination,
@@ -329,7 +349,7 @@
                     scenarios.dump(self.scenario),
                     self.slot,
                     str(self.folder / f"{role}.history"),
-                    sorted(self.cabled),
+                    sorted(self.proxied),
                     self.rig_mistake,
                 )
             )
@@ -337,11 +357,11 @@
         with open(self.folder / f"{role}.log", "ab") as log:
             child = self.child(
                 [sys.executable, "-m", "molehill.fleet.party", str(spec)],
-                cwd=TREE,
+                cwd=CHECKOUT,
                 stdin=subprocess.PIPE,
                 stdout=subprocess.PIPE,
                 stderr=log,
-                env={**os.environ, "PYTHONPATH": str(TREE)},
+                env={**os.environ, "PYTHONPATH": str(CHECKOUT)},
             )
         self.parties[role] = child
         self.waits_for.add(role)
@@ -352,16 +372,16 @@
         if child.stdout.readline():
             self.waits_for.discard(role)
 
-    def order(self, **what) -> None:
+    def send_order(self, **what) -> None:
         line = msgspec.json.encode(what) + b"\n"
         for child in self.parties.values():
-            with contextlib.suppress(OSError):  # one that died is told of by `look`
+            with contextlib.suppress(OSError):  # one that died is told of by `poll`
                 child.stdin.write(line)
                 child.stdin.flush()
 
-    def tell_all(self, who: str, what: str, **facts) -> None:
+    def tell_parties(self, who: str, what: str, **facts) -> None:
         self.world.tell(who, what, **facts)
-        self.order(who=who, what=what)
+        self.send_order(who=who, what=what)
 
     # The whole
 
@@ -369,17 +389,17 @@
         """Runs to the end and leaves the histories in the folder. Raises NotPlayed."""
         try:
             self.waits_for = set()
-            for role in ("hosts", "platform", "programs", *(["cables"] if self.cabled else [])):
+            for role in ("hosts", "platform", "programs", *(["cables"] if self.proxied else [])):
                 self.start_party(role)
-            self.until(lambda: not self.waits_for, "stand-ins")
+            self.run_until(lambda: not self.waits_for, "stand-ins")
             for relay in self.relays.values():
                 relay.start()
-            self.world.after(LOOK, self.look)
-            self.until(lambda: all(relay.up for relay in self.relays.values()), "relays")
+            self.world.after(POLL_INTERVAL, self.poll)
+            self.run_until(lambda: all(relay.up for relay in self.relays.values()), "relays")
             zero = time.monotonic_ns() + 50 * MS
             self.world.begin(zero)
             self.world.tell("script", "begins", zero=zero, wall=time.time_ns() + 50 * MS)
-            self.order(begin=zero)
+            self.send_order(begin=zero)
             for fault in self.scenario.faults:
                 if FAULTS[fault.kind] == "relay" and fault.kind != "flood" or fault.kind == "herd":
                     self.world.at(START + fault.at_ms * MS, self.apply_fault, fault)
@@ -388,52 +408,53 @@
                     self.world.at(START + fault.at_ms * MS, self.on_move, fault, None, 0)
             longest = max(c.span_ms for c in self.scenario.categories) * MS
             self.world.at(
-                START + self.scenario.span_ms * MS + longest + LOST_AFTER + CLEANUP_SPAN, self.ends
+                START + self.scenario.span_ms * MS + longest + LOST_AFTER + CLEANUP_SPAN,
+                self.finish,
             )
             self.world.run()
         finally:
             self.end_all()
 
-    def until(self, done, what: str) -> None:
-        end = time.monotonic_ns() + START_WITHIN
+    def run_until(self, done, what: str) -> None:
+        end = time.monotonic_ns() + START_TIMEOUT
         while not done():
-            self.world.turn()
-            self.look_at_parties()
+            self.world.run_once()
+            self.check_parties()
             if time.monotonic_ns() > end:
-                raise NotPlayed(f"{what} were not ready within {START_WITHIN // SECOND} s")
+                raise RigError(f"{what} were not ready within {START_TIMEOUT // SECOND} s")
 
-    def look_at_parties(self) -> None:
+    def check_parties(self) -> None:
         for role, child in self.parties.items():
             if child.poll() is not None and not self.over:
-                raise NotPlayed(
+                raise RigError(
                     f"stand-in {role} ended by itself with {child.returncode}: see {role}.log"
                 )
 
-    def look(self) -> None:
-        self.look_at_parties()
+    def poll(self) -> None:
+        self.check_parties()
         for relay in self.relays.values():
-            relay.look()
-        self.world.after(LOOK, self.look)
+            relay.poll()
+        self.world.after(POLL_INTERVAL, self.poll)
 
-    def ends(self) -> None:
+    def finish(self) -> None:
         """Figures are read, then the run is over."""
         self.world.tell("script", "ends")
         waiting = set()
         for relay in self.relays.values():
             if relay.up:
-                self.page(
+                self.fetch_page(
                     relay,
                     "/metrics",
                     waiting,
                     lambda relay, body: self.world.tell(
                         relay.name,
                         "figures",
-                        rows=figures_of(body),
-                        cpu=cpu_of(relay.owner.child.pid),
+                        rows=parse_metrics(body),
+                        cpu=cpu_seconds(relay.owner.child.pid),
                     ),
                 )
                 if self.scenario.fleet is not None:
-                    self.page(
+                    self.fetch_page(
                         relay,
                         "/fleet",
                         waiting,
@@ -441,28 +462,28 @@
                             relay.name, "view", view=json.loads(body)
                         ),
                     )
-        self.world.after(READ_WITHIN, setattr, self.world, "stopped", True)
-        self.read_all(waiting)
+        self.world.after(READ_TIMEOUT, setattr, self.world, "stopped", True)
+        self.await_pages(waiting)
 
-    def read_all(self, waiting) -> None:
+    def await_pages(self, waiting) -> None:
         if not waiting:
             self.world.stopped = True
-        self.world.after(LOOK, self.read_all, waiting)
+        self.world.after(POLL_INTERVAL, self.await_pages, waiting)
 
-    def page(self, relay, target: str, waiting, told) -> None:
+    def fetch_page(self, relay, target: str, waiting, on_body) -> None:
         """One page of a relay's door."""
         reader, place = MessageReader(), (relay.name, target)
         waiting.add(place)
 
-        def came(sock, data, sent_at) -> None:
+        def on_data(sock, data, sent_at) -> None:
             for _, _, body, _ in reader.feed(data, sent_at):
-                told(relay, body)
+                on_body(relay, body)
                 waiting.discard(place)
 
         self.network.connect(
             self.machine,
-            relay.owner.door,
-            came,
+            relay.owner.admin_address,
+            on_data,
             lambda s: s.close(),
             lambda s: s.close(),
             lambda sock: sock.put(request("GET", target)),
@@ -470,11 +491,11 @@
 
     def end_all(self) -> None:
         self.over = True
-        self.world.tell("conductor", "lateness", most=self.world.late)
+        self.world.tell("conductor", "lateness", most=self.world.max_lateness)
         self.world.tell("conductor", "cpu", spent=time.process_time())
         for role, child in self.parties.items():
             if child.poll() is None:
-                self.world.tell(role, "cpu", spent=cpu_of(child.pid))
+                self.world.tell(role, "cpu", spent=cpu_seconds(child.pid))
         for child in self.children:
             if child.stdin is not None:
                 with contextlib.suppress(OSError):
@@ -491,8 +512,8 @@
                 child.stdout.close()
         self.world.flush()
         self.claim.close()
-        for door in [*self.machine.socks]:
-            door.close()
+        for sock in [*self.machine.socks]:
+            sock.close()
         self.world.poll.close()
         self.world.file.close()
 
@@ -501,24 +522,24 @@
     def party(self, who: str):
         return self.relays.get(who)
 
-    def hit(self, fault, yes) -> None:
-        if yes:
+    def record_hit(self, fault, affected) -> None:
+        if affected:
             self.world.tell("script", "hit", kind=fault.kind, falls_on=fault.who, at_ms=fault.at_ms)
 
     def on_kill(self, fault, relay, span) -> None:
-        self.hit(fault, relay.kill())
+        self.record_hit(fault, relay.kill())
 
     def on_herd(self, fault, _, span) -> None:
         up = [relay for relay in self.relays.values() if relay.up]
         for relay in self.world.chance.sample(up, round(len(up) * fault.worth)):
-            self.hit(fault, relay.kill())
+            self.record_hit(fault, relay.kill())
 
     def on_restart(self, fault, relay, span) -> None:
         hit = relay.up and relay.signal(signal.SIGTERM)
         if hit:
             relay.owner.state, relay.owner.wanted = ENDING, True
             self.world.after(TERMINATION_TIMEOUT, self.end_child, relay.owner.child)
-        self.hit(fault, hit)
+        self.record_hit(fault, hit)
 
     def on_lose_disk(self, fault, relay, span) -> None:
         """Killed, its folder emptied before the next start."""
@@ -527,10 +548,10 @@
             relay.owner.child.wait()
             shutil.rmtree(relay.folder, ignore_errors=True)
             self.world.tell(relay.name, "disk lost")
-        self.hit(fault, hit)
+        self.record_hit(fault, hit)
 
     def on_hup(self, fault, relay, span) -> None:
-        self.hit(fault, relay.up and relay.signal(signal.SIGHUP))
+        self.record_hit(fault, relay.up and relay.signal(signal.SIGHUP))
 
     def on_retune(self, fault, relay, span) -> None:
         """One class more, and as many launches as `worth` says; with 0 the file is cut off and nothing of it may be taken."""
@@ -541,45 +562,45 @@
             text = relay.file.read_text(encoding="utf-8")
             relay.file.write_text(text[: len(text) // 2], encoding="utf-8")
             self.world.after(200 * MS, relay.write_file)
-        self.hit(fault, relay.up and relay.signal(signal.SIGHUP))
+        self.record_hit(fault, relay.up and relay.signal(signal.SIGHUP))
 
     def on_move(self, fault, _, span) -> None:
         self.platform_at = self.platform_at[0], self.platform_at[1] + 1
         for relay in self.relays.values():
             relay.write_file()
-            self.hit(fault, relay.up and relay.signal(signal.SIGHUP))
+            self.record_hit(fault, relay.up and relay.signal(signal.SIGHUP))
 
     def on_upgrade(self, fault, relay, span) -> None:
-        if relay.up and len(relay.lives) == 1:
+        if relay.up and len(relay.processes) == 1:
             relay.start()
-            self.hit(fault, True)
+            self.record_hit(fault, True)
 
     def on_freeze(self, fault, relay, span) -> None:
         """SIGSTOP, then SIGCONT. Danger: the end of one pause wakes a process that a longer one still holds; so they are counted."""
-        life = relay.owner
+        process = relay.owner
         if not relay.up:
             return
         began = self.world.now
         self.world.tell(relay.name, "frozen", until=began + span)
 
         def apply(stopped) -> None:
-            if life.child.poll() is None:
+            if process.child.poll() is None:
                 if not stopped:
                     # as late as it really was
                     self.world.tell(relay.name, "frozen", until=self.world.now, since=began)
-                life.child.send_signal(signal.SIGSTOP if stopped else signal.SIGCONT)
+                process.child.send_signal(signal.SIGSTOP if stopped else signal.SIGCONT)
 
-        self.hit(fault, True)
-        self.apply_during(span, (relay.name, life.number, "stopped"), True, False, max, apply)
+        self.record_hit(fault, True)
+        self.apply_during(span, (relay.name, process.number, "stopped"), True, False, max, apply)
 
     def on_few_descriptors(self, fault, relay, span) -> None:
         most = max(24, int(self.scenario.sockets * fault.worth))
-        self.limit(fault, relay, span, resource.RLIMIT_NOFILE, most)
+        self.apply_limit(fault, relay, span, resource.RLIMIT_NOFILE, most)
 
     def on_disk_full(self, fault, relay, span) -> None:
         """No file of the process may grow: its writes err."""
         log = relay.folder / "log"
-        self.limit(
+        self.apply_limit(
             fault, relay, span, resource.RLIMIT_FSIZE, log.stat().st_size if log.exists() else 0
         )
 
@@ -591,55 +612,55 @@
             else {"drift": fault.worth, "drift_from": time.monotonic_ns()}
         )
         relay.hook = {**relay.hook, **off}
-        self.hit(fault, relay.kill())
+        self.record_hit(fault, relay.kill())
 
     on_drift = on_clock
 
     def on_wall_step(self, fault, relay, span) -> None:
-        relay.goes_wrong("wall_ms", relay.wrong.get("wall_ms", 0) + fault.worth)
-        self.hit(fault, True)
+        relay.set_shim_fault("wall_ms", relay.shim_faults.get("wall_ms", 0) + fault.worth)
+        self.record_hit(fault, True)
 
-    def fails(self, fault, relay, span, key: str) -> None:
-        self.hit(fault, True)  # also one that is down: its next start is into it
+    def apply_shim_fault(self, fault, relay, span, key: str) -> None:
+        self.record_hit(fault, True)  # also one that is down: its next start is into it
         self.apply_during(
             span,
             (relay.name, key),
             int(fault.worth),
             None,
             max,
-            lambda code: relay.goes_wrong(key, code),
+            lambda code: relay.set_shim_fault(key, code),
         )
 
     def on_accept_error(self, fault, relay, span) -> None:
-        self.fails(fault, relay, span, "accept")
+        self.apply_shim_fault(fault, relay, span, "accept")
 
     def on_connect_error(self, fault, relay, span) -> None:
-        self.fails(fault, relay, span, "connect")
+        self.apply_shim_fault(fault, relay, span, "connect")
 
     def on_disk_error(self, fault, relay, span) -> None:
         """Everything fails in the first half of it; then plain writes go well, and all else fails as before."""
-        self.fails(fault, relay, span, "files")
+        self.apply_shim_fault(fault, relay, span, "files")
         self.apply_during(
             span // 2,
             (relay.name, "disk"),
             int(fault.worth),
             None,
             max,
-            lambda code: relay.goes_wrong("disk", code),
+            lambda code: relay.set_shim_fault("disk", code),
         )
 
     def on_older(self, fault, relay, span) -> None:
-        self.hit(fault, relay.kill())
+        self.record_hit(fault, relay.kill())
         relay.is_older = True
-        self.world.after(span, self.newer, relay)
+        self.world.after(span, self.start_current_program, relay)
 
-    def newer(self, relay) -> None:
+    def start_current_program(self, relay) -> None:
         relay.is_older = False
         relay.kill()
 
-    def limit(self, fault, relay, span, which, value) -> None:
+    def apply_limit(self, fault, relay, span, which, value) -> None:
         if relay.up:
-            self.hit(fault, True)
+            self.record_hit(fault, True)
             self.apply_during(
                 span,
                 (relay.name, relay.number, which),
@@ -654,25 +675,27 @@
         if not relay.up:
             return
         core = relay.n % os.cpu_count()
-        life, busy = relay.owner, []
-        os.sched_setaffinity(life.child.pid, {core})
+        process, busy = relay.owner, []
+        os.sched_setaffinity(process.child.pid, {core})
         for _ in range(max(1, int(fault.worth))):
             busy.append(
-                self.child([sys.executable, "-c", BUSY % os.getpid()], stdin=subprocess.DEVNULL)
+                self.child(
+                    [sys.executable, "-c", BUSY_LOOP % os.getpid()], stdin=subprocess.DEVNULL
+                )
             )
             os.sched_setaffinity(busy[-1].pid, {core})
-        self.hit(fault, True)
+        self.record_hit(fault, True)
 
         def over() -> None:
             for child in busy:
                 self.end_child(child)
-            if life.child.poll() is None:
-                os.sched_setaffinity(life.child.pid, os.sched_getaffinity(0))
+            if process.child.poll() is None:
+                os.sched_setaffinity(process.child.pid, os.sched_getaffinity(0))
 
         self.world.after(span, over)
 
 
-def cabled(scenario) -> set:
+def proxied_pairs(scenario) -> set:
     """(relay, party) for each way that a fault falls on: a cable has to stand there from the start."""
     found = set()
     for fault in scenario.faults:
@@ -685,14 +708,14 @@
     return {(a, b) for a, b in found if a.startswith("relay")}
 
 
-def figures_of(body: bytes) -> dict:
+def parse_metrics(body: bytes) -> dict:
     return dict(
         line.partition("|")[0].removeprefix("router.").rsplit(":", 1)
         for line in body.decode().splitlines()
     )
 
 
-def cpu_of(pid: int) -> float:
+def cpu_seconds(pid: int) -> float:
     """Seconds of a core that a process has used so far."""
     try:
         words = Path(f"/proc/{pid}/stat").read_text(encoding="utf-8").rpartition(")")[2].split()
--- a/molehill/fleet/figures.py
+++ b/molehill/fleet/figures.py
@@ -8,7 +8,7 @@
 from molehill.emulator.world import START
 
 LEAST_US, MOST_US, DIGITS = 1, 600_000_000, 3
-SHARES = (50.0, 90.0, 99.0, 99.9)
+PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
 def delivery(history) -> dict:
@@ -28,7 +28,10 @@
                     row.record_value(max(LEAST_US, (now - born[message]) // 1000))
     return {
         "count": row.get_total_count(),
-        **{f"p{share:g}": round(row.get_value_at_percentile(share) / 1000, 2) for share in SHARES},
+        **{
+            f"p{share:g}": round(row.get_value_at_percentile(share) / 1000, 2)
+            for share in PERCENTILES
+        },
     }
 
 
@@ -70,7 +73,7 @@
     }
 
 
-def spans(history, scenario) -> list[tuple[str, float, float]]:
+def fault_spans(history, scenario) -> list[tuple[str, float, float]]:
     """(what fell on whom, from, to) in seconds of the run, for plots."""
     rows = [
         (f"{f.kind} {f.who}", f.at_ms / 1000, (f.at_ms + max(f.span_ms, 50)) / 1000)
--- a/molehill/fleet/days.py
+++ b/molehill/fleet/generator.py
@@ -9,54 +9,64 @@
 from molehill.emulator.scenario import EMULATED_ONLY, FAULTS, Fault, FleetPlan, Scenario, check
 
 # kind -> (weight, least and most worth)
-WAYS = {
+PATH_FAULTS = {
     "cut": (6, (0, 0)),
     "burst": (1, (0, 0)),
     "delay": (2, (10, 800)),
     "narrow": (1, (500, 20_000)),
 }
-MOST_MS = 4000
-BACK_MS = 1500  # a host that was avoided has calls again by then, or soon
+MAX_PATH_FAULT_MS = 4000
+HOST_RETURN_MS = 1500  # a host that was avoided has calls again by then, or soon
 # What counts steps of the relay has no like on processes; the rest of the emulator's kinds stays as often as there.
-WEIGHTS = {**{kind: 0 for kind in EMULATED_ONLY}, "upgrade": 1, "kill": 6, "freeze": 4}
+FAULT_WEIGHTS = {**{kind: 0 for kind in EMULATED_ONLY}, "upgrade": 1, "kill": 6, "freeze": 4}
 
 
-def drawn(seed: int, relays: int = 3, span_ms: int = 5000, ways: int = 2, weights=None) -> Scenario:
-    made = generator.make(seed, {**WEIGHTS, **(weights or {})}, span_ms, relays)
+def draw_scenario(
+    seed: int, relays: int = 3, span_ms: int = 5000, path_faults: int = 2, weights=None
+) -> Scenario:
+    made = generator.make(seed, {**FAULT_WEIGHTS, **(weights or {})}, span_ms, relays)
     chance = Random(f"ways {seed}")
     hosts = [f"h{e.destination}-{n}" for e in made.endpoints for n in range(e.hosts)]
     # edges aim some beside others
     faults = [fault for fault in made.faults if fault.kind not in EMULATED_ONLY]
-    for _ in range(chance.randrange(ways + 1)):
-        kind = chance.choices(list(WAYS), [weight for weight, _ in WAYS.values()])[0]
+    for _ in range(chance.randrange(path_faults + 1)):
+        kind = chance.choices(list(PATH_FAULTS), [weight for weight, _ in PATH_FAULTS.values()])[0]
         one, other = (
             chance.choice([*(f"relay{n}" for n in range(relays)), "relays"]),
             chance.choice([*hosts, "hosts", "platform", "platform"]),
         )
         who = chance.choice([f"{one}>{other}", f"{other}>{one}", f"{one}<>{other}"])
-        worth = float(int(chance.uniform(*WAYS[kind][1])))
+        worth = float(int(chance.uniform(*PATH_FAULTS[kind][1])))
         faults.append(
-            Fault(kind, chance.randrange(300, span_ms), who, chance.randrange(200, MOST_MS), worth)
+            Fault(
+                kind,
+                chance.randrange(300, span_ms),
+                who,
+                chance.randrange(200, MAX_PATH_FAULT_MS),
+                worth,
+            )
         )
     return check(
-        replace(made, faults=apart(sorted(faults, key=lambda f: (f.at_ms, f.kind, f.who))))
+        replace(
+            made, faults=without_overlaps(sorted(faults, key=lambda f: (f.at_ms, f.kind, f.who)))
+        )
     )
 
 
-def apart(faults) -> list[Fault]:
+def without_overlaps(faults) -> list[Fault]:
     """Without those that fall on a host while another fault has it, or soon after: they would touch nothing, and void the day."""
     kept, until = [], {}
     for fault in faults:
         if FAULTS[fault.kind] == "host":
             if fault.at_ms < until.get(fault.who, 0):
                 continue
-            until[fault.who] = fault.at_ms + fault.span_ms + BACK_MS
+            until[fault.who] = fault.at_ms + fault.span_ms + HOST_RETURN_MS
         kept.append(fault)
     return kept
 
 
 # kind -> (weight, least and most span in ms, what `worth` is drawn from): for soaks, beside those of the emulator
-SHIMS = {
+MACHINE_FAULTS = {
     "wall_step": (4, (0, 0), (3_600_000, -3_600_000, 10_000, -10_000, 900, -900)),
     "accept_error": (
         2,
@@ -78,20 +88,24 @@
     "disk_error": (3, (300, 4000), (errno.EIO, errno.ENOSPC)),
 }  # a restart takes over a second
 # Ends and beginnings of processes that a soak lays over them, and how soon after them
-ENDS = ("kill", "kill", "restart", "upgrade", "hup", "freeze", "herd")
+PROCESS_END_FAULTS = ("kill", "kill", "restart", "upgrade", "hup", "freeze", "herd")
 CROSSED_MS = 1600
 
 
-def soaked(seed: int, relays: int = 10, span_ms: int = 4000, shims: int = 4) -> Scenario:
+def draw_soak_scenario(
+    seed: int, relays: int = 10, span_ms: int = 4000, shims: int = 4
+) -> Scenario:
     """A drawn day with that many faults of a relay's machine, half of them with the end of a process laid over them."""
     made, chance = (
-        drawn(seed, relays, span_ms, 1, {"dead": 0, "vanished": 0}),
+        draw_scenario(seed, relays, span_ms, 1, {"dead": 0, "vanished": 0}),
         Random(f"soak {seed}"),
     )
     faults = list(made.faults)
     for _ in range(shims):
-        kind = chance.choices(list(SHIMS), [weight for weight, *_ in SHIMS.values()])[0]
-        _, (least, most), worths = SHIMS[kind]
+        kind = chance.choices(
+            list(MACHINE_FAULTS), [weight for weight, *_ in MACHINE_FAULTS.values()]
+        )[0]
+        _, (least, most), worths = MACHINE_FAULTS[kind]
         fault = Fault(
             kind,
             chance.randrange(300, span_ms),
@@ -101,7 +115,7 @@
         )
         faults.append(fault)
         if chance.random() < 0.5:
-            end = chance.choice(ENDS)
+            end = chance.choice(PROCESS_END_FAULTS)
             at = fault.at_ms + chance.randrange(CROSSED_MS)
             faults.append(
                 Fault(
@@ -122,11 +136,11 @@
     )
 
 
-SPANS = {"roundMs": 200, "aloneAfterMs": 800, "stalledMs": 300, "floorMs": 60}
-AFTER_MS = 11_000  # for views to agree, at 8 relays and these spans
+MEMBERSHIP_SETTINGS = {"roundMs": 200, "aloneAfterMs": 800, "stalledMs": 300, "floorMs": 60}
+AGREEMENT_MS = 11_000  # for views to agree, at 8 relays and these spans
 
 
-def of_members(seed: int) -> Scenario:
+def draw_membership_scenario(seed: int) -> Scenario:
     """Relays that know of each other: pauses just under and over each bound, losses, cuts of each direction, rings, halves, one deaf, one dumb,
     kills and restarts, two or three at once; quiet enough at the end for all to agree again."""
     chance = Random(f"members {seed}")
@@ -175,7 +189,7 @@
             last, *(f.at_ms + f.span_ms + (4500 if f.kind == "restart" else 1500) for f in made)
         )
     calm = generator.make(
-        seed, dict.fromkeys(FAULTS, 0) | {"hup": 1}, last + AFTER_MS - 6000, count
+        seed, dict.fromkeys(FAULTS, 0) | {"hup": 1}, last + AGREEMENT_MS - 6000, count
     )
     kinds = [
         replace(e, kind="plain", rate=0, slots=32, span_ms=20.0, queue=32)
@@ -186,7 +200,7 @@
         replace(
             calm,
             faults=sorted(faults, key=lambda f: (f.at_ms, f.kind, f.who)),
-            fleet=FleetPlan(SPANS),
+            fleet=FleetPlan(MEMBERSHIP_SETTINGS),
             endpoints=kinds,
             surges=[],
             programs=[
--- a/molehill/fleet/history.py
+++ b/molehill/fleet/history.py
@@ -17,7 +17,7 @@
 
     def __init__(self, rows, doubt: int = 0, folder=None, rest=()):
         self.rows, self.doubt, self.folder, self.rest = rows, doubt, folder, list(rest)
-        self.late = {}  # process of the rig -> by how much it was late at most
+        self.lateness = {}  # process of the rig -> by how much it was late at most
 
 
 def read(folder) -> History:
@@ -42,16 +42,16 @@
         # What led up to the run (starts, the first lists) is part of it; what its end brings is not.
         (rows if stamp <= over else rest).append((START + stamp - zero, who, what, facts))
     history = History(
-        whole(rows),
+        resolve_proxy_events(rows),
         max((span for process, span in late.items() if process != "conductor"), default=0),
         folder,
         rest,
     )
-    history.late, history.wall = late, begun[0]["wall"]
+    history.lateness, history.wall = late, begun[0]["wall"]
     return history
 
 
-def whole(rows):
+def resolve_proxy_events(rows):
     """Rows with names for what a cable saw of a connection that the far end numbered, and calls with the time at which they were written."""
     numbers, held, made = {}, {}, []
     for now, who, what, facts in rows:
--- a/molehill/fleet/members.py
+++ b/molehill/fleet/members.py
@@ -12,21 +12,21 @@
 from molehill.emulator.scenario import FAULTS, directions
 from molehill.emulator.world import START
 
-STAMP = re.compile(r"timestamp='([^']+)'")
-PAIRS = re.compile(r"(\w+)=('(?:[^'\\]|\\.)*'|\S+)")
+TIMESTAMP = re.compile(r"timestamp='([^']+)'")
+KEY_VALUE = re.compile(r"(\w+)=('(?:[^'\\]|\\.)*'|\S+)")
 # As the operators' page states them, where a file names none
 DEFAULT_MS = {"roundMs": 500, "aloneAfterMs": 2000, "stalledMs": 400, "floorMs": 100}
 BYTES_PER_S, BURST_S = 20_000, 4
 # T4: a lost one is called each 5 rounds, twice; is told, refutes; and the rumour takes twice log2 of the size
-AGREES_ROUNDS = 16
-START_MS = 3000  # a relay that was killed is back and has joined
+AGREEMENT_ROUNDS = 16
+REJOIN_MS = 3000  # a relay that was killed is back and has joined
 
 
 def log_rows(folder, told):
     """(time, relay, its line's pairs) of what relays wrote; their wall clock is set beside the rig's as the run began."""
     for path in sorted(folder.glob("relay*.log")):
         for line in path.read_text(encoding="utf-8", errors="replace").splitlines():
-            found = STAMP.search(line)
+            found = TIMESTAMP.search(line)
             if found:
                 moment = datetime.fromisoformat(found.group(1).replace("Z", "+00:00"))
                 yield (
@@ -36,12 +36,12 @@
                 )
 
 
-def says(folder, told) -> list[tuple]:
+def membership_events(folder, told) -> list[tuple]:
     """(time, relay, event, facts) of the lines about membership, in order."""
     rows = []
     for now, relay, line in log_rows(folder, told):
         facts = {}
-        for name, text in PAIRS.findall(line):
+        for name, text in KEY_VALUE.findall(line):
             try:
                 facts[name] = ast.literal_eval(text)
             except (ValueError, SyntaxError):
@@ -69,11 +69,11 @@
         wait = 15 * max(1.0, log10(max(2, n))) * self.round
         self.t2 = int(2 * n * slowest + wait) + doubt
         self.t3 = int((ms["aloneAfterMs"] + ms["stalledMs"]) * MS) + doubt
-        self.t4 = (AGREES_ROUNDS + 2 * ceil(log2(n))) * slowest + doubt
+        self.t4 = (AGREEMENT_ROUNDS + 2 * ceil(log2(n))) * slowest + doubt
         self.t1 = self.t4
 
 
-def troubled(scenario) -> list[tuple[str, int, int]]:
+def trouble_spans(scenario) -> list[tuple[str, int, int]]:
     """(relay, from, to) of what the script does to a relay, its ways to others and itself; what it says then may be of use to nobody."""
     rows = []
     relays = {f"relay{n}" for n in range(scenario.relays)}
@@ -81,17 +81,17 @@
         begun, over = START + f.at_ms * MS, START + (f.at_ms + f.span_ms) * MS
         if FAULTS[f.kind] == "relay":
             rows.append(
-                (f.who, begun, over + START_MS * MS + (4000 * MS if f.kind == "restart" else 0))
+                (f.who, begun, over + REJOIN_MS * MS + (4000 * MS if f.kind == "restart" else 0))
             )
         elif f.kind == "herd":
-            rows += [(relay, begun, over + START_MS * MS) for relay in relays]
+            rows += [(relay, begun, over + REJOIN_MS * MS) for relay in relays]
         elif FAULTS[f.kind] == "pair":
             ends = [set(way) for way in directions(scenario, f.who) if set(way) <= relays]
             rows += [(relay, begun, over) for relay in sorted(set().union(*ends))] if ends else []
     return rows
 
 
-def cut_off(scenario) -> list[tuple[str, int, int]]:
+def cut_spans(scenario) -> list[tuple[str, int, int]]:
     """(relay, from, to) of each that one `cut` keeps from hearing any other, or from being heard by any."""
     rows, relays = [], {f"relay{n}" for n in range(scenario.relays)}
     for f in scenario.faults:
@@ -111,7 +111,7 @@
 
 def check(history, scenario) -> list[tuple[str, str, str, dict]]:
     """(word, property, text, facts) of each that does not hold, or can't be told; empty if all hold."""
-    bounds, rows = Bounds(scenario, history.doubt), says(history.folder, history)
+    bounds, rows = Bounds(scenario, history.doubt), membership_events(history.folder, history)
     return [
         found
         for look in (
@@ -144,7 +144,7 @@
             best[place] = known
 
 
-def standing_at(rows, relay: str, when: int):
+def status_at(rows, relay: str, when: int):
     """(what it said of itself last, since)."""
     last = "alone", 0
     for now, who, event, facts in rows:
@@ -159,12 +159,12 @@
 
 def alone_in_time(history, scenario, bounds, rows):
     """One that hears nobody, or is heard by nobody, says so."""
-    for relay, begun, over in cut_off(scenario):
+    for relay, begun, over in cut_spans(scenario):
         when = begun + bounds.t3
         if (
             when < over
-            and not busy(scenario, relay, begun, when)
-            and standing_at(rows, relay, when)[0] != "alone"
+            and not is_busy(scenario, relay, begun, when)
+            and status_at(rows, relay, when)[0] != "alone"
         ):
             yield (
                 BROKEN,
@@ -174,25 +174,25 @@
             )
 
 
-def busy(scenario, relay, begun, over) -> bool:
+def is_busy(scenario, relay, begun, over) -> bool:
     """Something else is done to it meanwhile, or all that could judge it are in trouble: nothing can be told."""
     return any(
         who == relay and first < over and last > begun and first != begun
-        for who, first, last in troubled(scenario)
+        for who, first, last in trouble_spans(scenario)
     )
 
 
 def lost_in_time(history, scenario, bounds, rows):
-    for relay, begun, over in cut_off(scenario):
+    for relay, begun, over in cut_spans(scenario):
         when = begun + bounds.t2
-        if when >= over or busy(scenario, relay, begun, when):
+        if when >= over or is_busy(scenario, relay, begun, when):
             continue
         for n in range(scenario.relays):
             viewer = f"relay{n}"
             if (
                 viewer != relay
-                and not busy(scenario, viewer, begun, when)
-                and standing_at(rows, viewer, when)[0] == "connected"
+                and not is_busy(scenario, viewer, begun, when)
+                and status_at(rows, viewer, when)[0] == "connected"
             ):
                 states = [
                     facts["now"]
@@ -213,7 +213,7 @@
 
 def not_lost_for_nothing(history, scenario, bounds, rows):
     """One to which nothing was done is lost to no connected relay."""
-    marks = troubled(scenario)
+    marks = trouble_spans(scenario)
     for now, viewer, event, facts in rows:
         if event == "member" and facts["now"] == "lost":
             reasons = [
@@ -221,7 +221,7 @@
                 for who, begun, over in marks
                 if who in (viewer, facts["name"]) and begun <= now <= over + bounds.t1
             ]
-            if not reasons and standing_at(rows, viewer, now)[0] == "connected":
+            if not reasons and status_at(rows, viewer, now)[0] == "connected":
                 yield (
                     BROKEN,
                     "not lost for nothing",
@@ -239,7 +239,7 @@
         if what == "view"
     }
     asked = [now for now, _, what, _ in [*history.rows, *history.rest] if what == "view"]
-    last = max([over for _, _, over in troubled(scenario)], default=START)
+    last = max([over for _, _, over in trouble_spans(scenario)], default=START)
     if not views or asked[0] < last + bounds.t4:
         short = (last + bounds.t4 - asked[0]) // MS if asked else None
         yield (
--- a/molehill/fleet/mutations.py
+++ b/molehill/fleet/mutations.py
@@ -5,17 +5,17 @@
 
 from contextlib import contextmanager
 
-from molehill.fleet import cable, history
+from molehill.fleet import history, proxy
 from molehill.fleet.world import World
 
 
 def lets_all_through(before):
     """It counts what it ought to hold back, and hands it on."""
 
-    def stands(self):
+    def is_blocked(self):
         return False
 
-    return stands
+    return is_blocked
 
 
 def other_way_round(before):
@@ -25,7 +25,7 @@
 def some_twice(before):
     def push(self, what, size=0):
         before(self, what, size)
-        if size and self.way.chance.random() < 0.1:
+        if size and self.direction.chance.random() < 0.1:
             before(self, what, size)
 
     return push
@@ -62,19 +62,19 @@
 def never_late(before):
     """A rig that does not see that it is late."""
 
-    def beat(self):
+    def measure_lateness(self):
         before(self)
-        self.late = -1
+        self.max_lateness = -1
 
-    return beat
+    return measure_lateness
 
 
 # name -> (which process it is in: cables, or the checker's; the place, the attribute, what makes the wrong one of the right one)
 MUTATIONS = {
-    "a cut lets all through": ("cables", cable.Way, "stands", lets_all_through),
-    "a cut falls on the other direction": ("cables", cable, "directions", other_way_round),
-    "a cable says some things twice": ("cables", cable.Pipe, "push", some_twice),
-    "a rig that measures no lateness": ("cables", World, "beat", never_late),
+    "a cut lets all through": ("cables", proxy.Direction, "is_blocked", lets_all_through),
+    "a cut falls on the other direction": ("cables", proxy, "directions", other_way_round),
+    "a cable says some things twice": ("cables", proxy.Pipe, "push", some_twice),
+    "a rig that measures no lateness": ("cables", World, "measure_lateness", never_late),
     "histories merged by process": ("checker", history, "read", order_of_processes),
     "one process stamps late": ("checker", history, "read", stamped_late),
 }
--- a/molehill/fleet/party.py
+++ b/molehill/fleet/party.py
@@ -21,14 +21,14 @@
 from molehill.emulator.run import Plan, host_plans, program_plan
 from molehill.emulator.script import Script
 from molehill.emulator.world import START
-from molehill.fleet.cable import Cables
+from molehill.fleet.addresses import AddressPlan
 from molehill.fleet.mutations import mutated
-from molehill.fleet.places import Places
+from molehill.fleet.proxy import Proxies
 from molehill.fleet.sockets import Network
 from molehill.fleet.world import IN, World
 
 # PR_SET_PDEATHSIG, for tools that die without closing anything
-PARENT_GONE = 1
+PR_SET_PDEATHSIG = 1
 
 
 class Spec(msgspec.Struct):
@@ -42,7 +42,7 @@
     mistake: str = ""  # of mutations.py
 
 
-class Absent:
+class RemoteParty:
     """A party that another process has: what is done to it is done there."""
 
     def __getattr__(self, name):
@@ -55,27 +55,30 @@
 class Party(Script):
     KINDS: tuple = ()  # kinds of fault that are carried out here
     # of those, what another process carries out as well, and tells of
-    TELLS_NOT: tuple = ()
+    REPORTED_ELSEWHERE: tuple = ()
 
     def __init__(self, spec: Spec):
         self.spec, self.scenario = spec, scenarios.load(spec.scenario)
         self.prepare()
         self.names = [f"relay{n}" for n in range(self.scenario.relays)]
         self.world = World(spec.role, self.scenario.seed, spec.history)
-        self.network, self.places = Network(self.world, self.names, spec.cabled), Places(spec.slot)
-        self.hosts, self.platform, self.up = {}, Absent(), set()
+        self.network, self.address_plan = (
+            Network(self.world, self.names, spec.cabled),
+            AddressPlan(spec.slot),
+        )
+        self.hosts, self.platform, self.up = {}, RemoteParty(), set()
         self.orders = b""
-        self.make()
-        self.world.watch(0, IN, self.ordered)
+        self.open_listeners()
+        self.world.watch(0, IN, self.read_orders)
 
-    def make(self) -> None:
+    def open_listeners(self) -> None:
         """Opens its listeners."""
 
-    def begins(self) -> None:
+    def handle_begin(self) -> None:
         """The run's time has been told."""
 
     def apply_fault(self, fault) -> None:
-        if fault.kind not in self.TELLS_NOT:
+        if fault.kind not in self.REPORTED_ELSEWHERE:
             self.world.tell(
                 "script",
                 "fault",
@@ -89,10 +92,10 @@
     def carry_out(self, fault) -> None:
         getattr(self, "on_" + fault.kind)(fault, self.party(fault.who), fault.span_ms * MS)
 
-    def ordered(self, mask) -> None:
+    def read_orders(self, mask) -> None:
         data = os.read(0, 1 << 16)
         if not data:
-            self.world.tell(self.spec.role, "lateness", most=self.world.late)
+            self.world.tell(self.spec.role, "lateness", most=self.world.max_lateness)
             self.world.tell(self.spec.role, "traffic", bytes=self.network.traffic)
             self.world.stopped = True
         self.orders += data
@@ -104,11 +107,11 @@
                 for fault in self.scenario.faults:
                     if fault.kind in self.KINDS:
                         self.world.at(START + fault.at_ms * MS, self.apply_fault, fault)
-                self.begins()
+                self.handle_begin()
             else:
-                self.heard_of(order["who"], order["what"])
+                self.handle_relay_event(order["who"], order["what"])
 
-    def heard_of(self, who: str, what: str) -> None:
+    def handle_relay_event(self, who: str, what: str) -> None:
         """What the conductor tells of a relay."""
 
 
@@ -117,26 +120,28 @@
         "lower",
         "zone_dark",
     )
-    TELLS_NOT = ("drain",)
+    REPORTED_ELSEWHERE = ("drain",)
 
-    def make(self) -> None:
+    def open_listeners(self) -> None:
         for h, (_, _, name, plan) in enumerate(host_plans(self.scenario)):
-            self.hosts[name] = Endpoint(self.world, self.network, name, self.places.host(h), plan)
+            self.hosts[name] = Endpoint(
+                self.world, self.network, name, self.address_plan.host(h), plan
+            )
 
-    def heard_of(self, who, what) -> None:
+    def handle_relay_event(self, who, what) -> None:
         if what in ("killed", "ended"):
             for host in self.hosts.values():
                 host.forget_relay(who)
 
 
-class ThePlatform(Party):
+class PlatformParty(Party):
     KINDS = ("drain", "lag", "outage", "lost_answers", "move")
 
-    def make(self) -> None:
-        self.platform = Platform(self.world, self.network, self.places.platform())
+    def open_listeners(self) -> None:
+        self.platform = Platform(self.world, self.network, self.address_plan.platform())
         for h, (_, _, name, plan) in enumerate(host_plans(self.scenario)):
             self.hosts[name] = SimpleNamespace(
-                name=name, address=self.places.host(h), plan=plan, draining=False
+                name=name, address=self.address_plan.host(h), plan=plan, draining=False
             )
             self.platform._put(self.hosts[name], "active")
 
@@ -145,10 +150,10 @@
 
 
 class Programs(Party):
-    def begins(self) -> None:
+    def handle_begin(self) -> None:
         s = self.scenario
         until = START + s.span_ms * MS
-        addresses = {name: self.places.relay(n) for n, name in enumerate(self.names)}
+        addresses = {name: self.address_plan.relay(n) for n, name in enumerate(self.names)}
         self.relay_pool = RelayPool(self.world, s.sockets // 3)
         self.programs = [
             Program(
@@ -174,7 +179,7 @@
         for name in self.up:
             self.relay_pool.up(name)
 
-    def heard_of(self, who, what) -> None:
+    def handle_relay_event(self, who, what) -> None:
         relay_pool = getattr(self, "relay_pool", None)
         if what == "ready":
             self.up.add(who)
@@ -186,17 +191,19 @@
                 relay_pool.down(who, lambda: who not in self.up)
 
 
-class TheCables(Party):
+class ProxyParty(Party):
     KINDS = tuple(kind for kind, on in scenarios.FAULTS.items() if on == "pair") + ("flood",)
 
-    def make(self) -> None:
-        self.cables = Cables(self.world, self.network, self.scenario, self.places, self.spec.cabled)
+    def open_listeners(self) -> None:
+        self.cables = Proxies(
+            self.world, self.network, self.scenario, self.address_plan, self.spec.cabled
+        )
 
     def carry_out(self, fault) -> None:
-        self.cables.falls(self, fault)
+        self.cables.start_fault(self, fault)
 
 
-ROLES = {"hosts": Hosts, "platform": ThePlatform, "programs": Programs, "cables": TheCables}
+ROLES = {"hosts": Hosts, "platform": PlatformParty, "programs": Programs, "cables": ProxyParty}
 
 
 def main() -> None:
--- a/molehill/fleet/play.py
+++ b/molehill/fleet/play.py
@@ -12,7 +12,7 @@
 from molehill.emulator import scenario as scenarios
 from molehill.emulator.mutations import mutated
 from molehill.fleet import checker, history
-from molehill.fleet.conductor import NotPlayed, Run
+from molehill.fleet.conductor import RigError, Run
 from molehill.fleet.mutations import mutated as rig_mutated
 
 # the referee has judged already, and nothing is ever late
@@ -82,7 +82,7 @@
             else nullcontext()
         ):
             verdict = judge(folder, scenario)
-    except NotPlayed as error:
+    except RigError as error:
         verdict = {
             "word": checker.VOID,
             "ok": False,
@@ -100,9 +100,9 @@
     return {**verdict, "late_ms": round(told.doubt / 1e6, 1), "summary": told.summary}
 
 
-def seeded(scenario, seed: int):
+def with_seed(scenario, seed: int):
     return replace(scenario, seed=seed)
 
 
-def words(verdicts) -> dict:
+def count_words(verdicts) -> dict:
     return dict(sorted(Counter(verdict["word"] for verdict in verdicts).items()))
--- a/molehill/fleet/report.py
+++ b/molehill/fleet/report.py
@@ -34,7 +34,7 @@
 )
 
 
-def drawn(draw, height: float = 2.6):
+def render_svg(draw, height: float = 2.6):
     figure, axes = pyplot.subplots(figsize=(9, height))
     draw(axes)
     figure.tight_layout()
@@ -55,7 +55,11 @@
         if kept.exists()
         else {"seed": scenario.seed, **plays.judge(folder, scenario)}
     )
-    rows, bars, costs = figures.by_second(told), figures.spans(told, scenario), figures.costs(told)
+    rows, bars, costs = (
+        figures.by_second(told),
+        figures.fault_spans(told, scenario),
+        figures.costs(told),
+    )
 
     def service(axes) -> None:
         axes.step([r[0] for r in rows], [r[1] for r in rows], where="post", label="due")
@@ -85,9 +89,9 @@
             verdict=verdict,
             note=scenario.note,
             touched=touched,
-            service=drawn(service),
-            spans=drawn(lanes, 1 + 0.3 * len(bars)),
-            cpu=drawn(cpu),
+            service=render_svg(service),
+            spans=render_svg(lanes, 1 + 0.3 * len(bars)),
+            cpu=render_svg(cpu),
             delivery=figures.delivery(told),
             costs=costs,
         ),
--- a/molehill/fleet/shims.py
+++ b/molehill/fleet/shims.py
@@ -23,15 +23,15 @@
 from molehill.config import MS
 from molehill.runtime.kernel import Disk, Kernel
 
-LOOK_EVERY = 5 * MS  # at the control file
-SHARES = {"accept": 1.0, "connect": 0.5}  # of these calls that fail
+CONTROL_POLL_INTERVAL = 5 * MS  # at the control file
+FAILURE_SHARES = {"accept": 1.0, "connect": 0.5}  # of these calls that fail
 
 
 class Control:
     """What is wrong now. Each call that is made to fail says so once on standard error, where the relay's log lines go."""
 
     def __init__(self, path: str):
-        self.path, self.looked, self.stamp, self.wrong, self.said = path, 0, None, {}, set()
+        self.path, self.polled_at, self.stamp, self.wrong, self.said = path, 0, None, {}, set()
 
     def say(self, call: str, code: int) -> None:
         if (call, code) not in self.said:
@@ -40,8 +40,8 @@
 
     def now(self) -> dict:
         at = time.monotonic_ns()
-        if at - self.looked >= LOOK_EVERY:
-            self.looked = at
+        if at - self.polled_at >= CONTROL_POLL_INTERVAL:
+            self.polled_at = at
             try:
                 stamp = os.stat(self.path).st_mtime_ns
                 if stamp != self.stamp:
@@ -112,7 +112,7 @@
         self.failing[call] = code
         if not code:
             return 0
-        if not first and self.random.random() >= SHARES[call]:
+        if not first and self.random.random() >= FAILURE_SHARES[call]:
             return 0
         self.control.say(call, code)
         return code
--- a/molehill/fleet/show.py
+++ b/molehill/fleet/show.py
@@ -5,10 +5,10 @@
 from molehill.config import MS
 from molehill.emulator.world import START
 from molehill.fleet import history
-from molehill.fleet.members import STAMP, log_rows
+from molehill.fleet.members import TIMESTAMP, log_rows
 
 # the rig's own bookkeeping
-PRIVATE = ("figures", "view", "traffic", "cpu", "lateness", "accepted", "held")
+HIDDEN_EVENTS = ("figures", "view", "traffic", "cpu", "lateness", "accepted", "held")
 
 
 def callback_names(told, word: str) -> set[str]:
@@ -20,7 +20,7 @@
     return names - {None}
 
 
-def story(folder, about=(), first_ms=None, last_ms=None) -> list[str]:
+def event_lines(folder, about=(), first_ms=None, last_ms=None) -> list[str]:
     """Lines that name one of `about` (all, if empty), within the span."""
     told = history.read(folder)
     names = {name for word in about for name in callback_names(told, word)}
@@ -28,10 +28,10 @@
     rows = [
         (at, n, who, f"{what} " + " ".join(f"{name}={value}" for name, value in facts.items()))
         for n, (at, who, what, facts) in enumerate(told.rows)
-        if what not in PRIVATE
+        if what not in HIDDEN_EVENTS
     ]
     rows += [
-        (at, 1 << 40, who, "says " + STAMP.sub("", line).strip())
+        (at, 1 << 40, who, "says " + TIMESTAMP.sub("", line).strip())
         for at, who, line in log_rows(folder, told)
     ]
     lines = []
--- a/molehill/fleet/sockets.py
+++ b/molehill/fleet/sockets.py
@@ -9,21 +9,21 @@
 import struct
 from types import SimpleNamespace
 
-from molehill.fleet.world import HUNG, IN, OUT
+from molehill.fleet.world import HANGUP, IN, OUT
 
-PIECE = 64 * 1024
+MAX_READ_BYTES = 64 * 1024
 BACKLOG = 256
-AT_ONCE = struct.pack("ii", 1, 0)  # linger: a close that resets
-CABLE = 1000  # the port of a cable before a port, above that
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # linger: a close that resets
+PROXY_PORT_OFFSET = 1000  # the port of a cable before a port, above that
 FRESH, DIALLING, OPEN, FAILED = "fresh", "dialling", "open", "failed"
 
 
-def at(base, n: int):
+def address_for(base, n: int):
     """The address that relay n is told for a party at `base`."""
     return base[0].rpartition(".")[0] + f".{n + 1}", base[1]
 
 
-def between(near, far) -> str:
+def connection_name(near, far) -> str:
     """A connection by both its ends. Danger: the kernel gives one port to several connections, as long as they go to different addresses."""
     return "%s:%d>%s:%d" % (*near, *far)
 
@@ -39,31 +39,31 @@
         """Reads nothing, says nothing; that a relay hung up is seen, for the history alone."""
         self.cut = True
         for sock in [*self.socks, *self.listeners]:
-            sock.look()
+            sock.update_watch()
 
     def back(self) -> None:
         """Up again, knowing nothing of its connections, nor of those that came meanwhile."""
         self.cut, self.boots = False, self.boots + 1
-        self.reset_all()
+        self.reset_connections()
         for listener in list(self.listeners):
-            self.failed_connectors.update(listener.turned_away())
-            listener.look()
+            self.failed_connectors.update(listener.reset_waiting())
+            listener.update_watch()
 
     def die(self) -> None:
         for listener in list(self.listeners):
             listener.close()
-        self.reset_all()
+        self.reset_connections()
 
-    def reset_all(self) -> None:
+    def reset_connections(self) -> None:
         for sock in list(self.socks):
             self.world.tell(self.name, "call connection over", conn=sock.number)
             sock.reset()
 
 
 class Network:
-    def __init__(self, world, relays, cabled=()):
-        """`relays`: their names, in the order of their numbers; `cabled`: pairs (relay, party) with a cable between them."""
-        self.world, self.relays, self.cabled = world, list(relays), set(cabled)
+    def __init__(self, world, relays, proxied=()):
+        """`relays`: their names, in the order of their numbers; `proxied`: pairs (relay, party) with a cable between them."""
+        self.world, self.relays, self.proxied = world, list(relays), set(proxied)
         self.machines, self.numbers = {}, 0
         # who is at the other end -> bytes [heard from it, said to it]
         self.traffic = {}
@@ -77,8 +77,8 @@
 
     def address_seen_by(self, relay: str, address, party: str):
         """What that relay is told for the address of a party."""
-        host, port = at(address, self.relays.index(relay))
-        return host, port + (CABLE if (relay, party) in self.cabled else 0)
+        host, port = address_for(address, self.relays.index(relay))
+        return host, port + (PROXY_PORT_OFFSET if (relay, party) in self.proxied else 0)
 
     def connect(self, machine, address, came=None, ended=None, broke=None, up=None) -> "Sock":
         n = int(address[0].rpartition(".")[2]) - 1
@@ -92,14 +92,17 @@
 
     def serve(self, machine, address, accepted) -> "Listener":
         return Listener(
-            self, machine, [(name, at(address, n)) for n, name in enumerate(self.relays)], accepted
+            self,
+            machine,
+            [(name, address_for(address, n)) for n, name in enumerate(self.relays)],
+            accepted,
         )
 
 
 class Listener:
     def __init__(self, network, machine, rows, accepted):
         """`rows`: (name of who calls there, address)."""
-        self.network, self.world, self.machine, self.accepted, self.doors = (
+        self.network, self.world, self.machine, self.accepted, self.listening_sockets = (
             network,
             network.world,
             machine,
@@ -107,21 +110,25 @@
             [],
         )
         for name, address in rows:
-            door = socket.create_server(address, backlog=BACKLOG)
-            door.setblocking(False)
-            self.doors.append((door, name))
+            listening_socket = socket.create_server(address, backlog=BACKLOG)
+            listening_socket.setblocking(False)
+            self.listening_sockets.append((listening_socket, name))
         machine.listeners.add(self)
-        self.look()
+        self.update_watch()
 
-    def look(self) -> None:
-        for door, name in self.doors:
+    def update_watch(self) -> None:
+        for listening_socket, name in self.listening_sockets:
             if self.machine.cut:
-                self.world.forget(door.fileno())
+                self.world.forget(listening_socket.fileno())
             else:
-                self.world.watch(door.fileno(), IN, lambda mask, row=(door, name): self.ready(*row))
-
-    def ready(self, door, name) -> None:
-        while (taken := self.take(door)) is not None:
+                self.world.watch(
+                    listening_socket.fileno(),
+                    IN,
+                    lambda mask, row=(listening_socket, name): self.accept_all(*row),
+                )
+
+    def accept_all(self, listening_socket, name) -> None:
+        while (taken := self.accept_one(listening_socket)) is not None:
             sock, address = taken
             made = Sock(self.network, self.machine, sock, name)
             made.state = OPEN
@@ -129,34 +136,34 @@
                 self.machine.name,
                 "accepted",
                 conn=made.number,
-                peer=between(address, door.getsockname()),
+                peer=connection_name(address, listening_socket.getsockname()),
             )
-            made.look()
+            made.update_watch()
             self.accepted(made)
 
     @staticmethod
-    def take(door):
+    def accept_one(listening_socket):
         try:
-            return door.accept()
+            return listening_socket.accept()
         except OSError:
             return None
 
-    def turned_away(self) -> set:
+    def reset_waiting(self) -> set:
         """Ends what waits at the doors; names of those who came."""
         names = set()
-        for door, name in self.doors:
-            while (taken := self.take(door)) is not None:
-                taken[0].setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, AT_ONCE)
+        for listening_socket, name in self.listening_sockets:
+            while (taken := self.accept_one(listening_socket)) is not None:
+                taken[0].setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
                 taken[0].close()
                 names.add(name)
         return names
 
     def close(self) -> None:
         self.machine.listeners.discard(self)
-        for door, _ in self.doors:
-            self.world.forget(door.fileno())
-            door.close()
-        self.doors = []
+        for listening_socket, _ in self.listening_sockets:
+            self.world.forget(listening_socket.fileno())
+            listening_socket.close()
+        self.listening_sockets = []
 
 
 class Sock:
@@ -184,16 +191,16 @@
             self.sock.bind(bound)
         code = self.sock.connect_ex(address)
         if code not in (0, errno.EINPROGRESS):
-            self.world.after(0, self.breaks, code)
+            self.world.after(0, self.fail, code)
         else:
-            self.look()
+            self.update_watch()
 
-    def look(self) -> None:
+    def update_watch(self) -> None:
         """Watches for what this side waits for."""
         if self.closed:
             return
         if self.machine.cut:
-            self.world.watch(self.sock.fileno(), HUNG, self.hung)
+            self.world.watch(self.sock.fileno(), HANGUP, self.handle_hangup)
             return
         mask = OUT if self.state is DIALLING or self.outbox else 0
         if not mask and self.paused:  # else the kernel would tell its hang-up again and again
@@ -202,50 +209,50 @@
             self.world.watch(
                 self.sock.fileno(),
                 mask | (0 if self.paused or self.state is DIALLING else IN),
-                self.moved,
+                self.handle_ready,
             )
 
-    def hung(self, mask) -> None:
+    def handle_hangup(self, mask) -> None:
         """The other side of one that has vanished is gone."""
         self.world.tell(self.machine.name, "call connection over", conn=self.number)
         self.forget()
         self.sock.close()
 
-    def moved(self, mask) -> None:
+    def handle_ready(self, mask) -> None:
         if self.state is DIALLING:
-            return self.came_up()
+            return self.finish_connect()
         if mask & OUT:
             self.pump()
         if mask & ~OUT and not self.closed and not self.paused:
             self.read()
 
-    def came_up(self) -> None:
+    def finish_connect(self) -> None:
         code = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if code:
-            return self.breaks(code)
+            return self.fail(code)
         self.state = OPEN
-        self.look()
+        self.update_watch()
         if self.on_up is not None:
             self.on_up(self)
 
     def read(self) -> None:
         try:
-            data = self.sock.recv(PIECE)
+            data = self.sock.recv(MAX_READ_BYTES)
         except BlockingIOError:
             return
         except OSError as error:
-            return self.breaks(error.errno)
+            return self.fail(error.errno)
         self.traffic[0] += len(data)
         if data:
             if self.on_came is not None:
-                self.on_came(self, data, self.world.since())
+                self.on_came(self, data, self.world.earliest_arrival())
         else:
             self.paused = True  # the end is told once
-            self.look()
+            self.update_watch()
             if self.on_ended is not None:
                 self.on_ended(self)
 
-    def breaks(self, code: int) -> None:
+    def fail(self, code: int) -> None:
         if self.closed or self.error:
             return
         self.state, self.error = FAILED, code
@@ -269,10 +276,10 @@
         except BlockingIOError:
             pass
         except OSError as error:
-            return self.breaks(error.errno)
+            return self.fail(error.errno)
         if self.ending and not self.outbox:
             return self.close()
-        self.look()
+        self.update_watch()
 
     def forget(self) -> None:
         self.closed = True
@@ -286,5 +293,5 @@
 
     def reset(self) -> None:
         if not self.closed:
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, AT_ONCE)
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             self.close()
--- a/molehill/fleet/world.py
+++ b/molehill/fleet/world.py
@@ -15,31 +15,33 @@
 from molehill.config import MS, SECOND
 from molehill.emulator.world import START
 
-BEAT = 10 * MS  # how often a loop looks at how late it is
-FLUSH = 50 * MS  # how long lines of the history wait at most
-BEFORE = 10_000 * SECOND  # until `begin`, the run is that far off
-IN, OUT, HUNG = select.EPOLLIN, select.EPOLLOUT, select.EPOLLRDHUP
+LATENESS_INTERVAL = 10 * MS  # how often a loop looks at how late it is
+FLUSH_INTERVAL = 50 * MS  # how long lines of the history wait at most
+TIME_BEFORE_BEGIN = 10_000 * SECOND  # until `begin`, the run is that far off
+IN, OUT, HANGUP = select.EPOLLIN, select.EPOLLOUT, select.EPOLLRDHUP
 encode = msgspec.json.Encoder().encode
 
 
 class World:
-    """`late`: by how much this loop was late at most since `begin`, timers and turns alike."""
+    """`max_lateness`: by how much this loop was late at most since `begin`, timers and turns alike."""
 
     def __init__(self, name: str, seed, path=None):
         self.name, self.chance = name, Random(f"{seed} {name}")
         self.heap, self.serial, self.failure, self.watchers = [], 0, None, []
-        self.zero, self.begun, self.stopped, self.late = (
-            time.monotonic_ns() + BEFORE,
+        self.zero, self.begun, self.stopped, self.max_lateness = (
+            time.monotonic_ns() + TIME_BEFORE_BEGIN,
             False,
             False,
             0,
         )
         self.poll, self.handlers = select.epoll(), {}
         self.file, self.lines = path and open(path, "ab", buffering=0), []
-        self.looked = self.before = self.now  # the last look of the loop, and the one before
-        self.due = self.now + BEAT  # of the next beat
-        self.at(self.due, self.beat)
-        self.after(FLUSH, self.flush_on)
+        self.last_poll = self.previous_poll = (
+            self.now
+        )  # the last look of the loop, and the one before
+        self.lateness_due = self.now + LATENESS_INTERVAL  # of the next beat
+        self.at(self.lateness_due, self.measure_lateness)
+        self.after(FLUSH_INTERVAL, self.flush_periodically)
 
     @property
     def now(self) -> int:
@@ -47,12 +49,12 @@
 
     def begin(self, zero: int) -> None:
         """The run starts at that reading of the monotonic clock; what is due already stays as far off as it was."""
-        shift, self.zero, self.begun, self.late = self.zero - zero, zero, True, 0
+        shift, self.zero, self.begun, self.max_lateness = self.zero - zero, zero, True, 0
         self.heap = [(when + shift, *rest) for when, *rest in self.heap]
-        self.looked, self.before, self.due = (
-            self.looked + shift,
-            self.before + shift,
-            self.due + shift,
+        self.last_poll, self.previous_poll, self.lateness_due = (
+            self.last_poll + shift,
+            self.previous_poll + shift,
+            self.lateness_due + shift,
         )
 
     def at(self, when: int, work, *args) -> None:
@@ -73,15 +75,18 @@
         if lines and self.file:
             self.file.write(b"\n".join(lines) + b"\n")
 
-    def flush_on(self) -> None:
+    def flush_periodically(self) -> None:
         self.flush()
-        self.after(FLUSH, self.flush_on)
+        self.after(FLUSH_INTERVAL, self.flush_periodically)
 
-    def beat(self) -> None:
+    def measure_lateness(self) -> None:
         """Danger: a rig that is late itself takes its own lateness for a relay's; so each process measures its own."""
         now = self.now
-        self.late, self.due = max(self.late, now - self.due), now + BEAT
-        self.at(self.due, self.beat)
+        self.max_lateness, self.lateness_due = (
+            max(self.max_lateness, now - self.lateness_due),
+            now + LATENESS_INTERVAL,
+        )
+        self.at(self.lateness_due, self.measure_lateness)
 
     # Descriptors
 
@@ -96,17 +101,17 @@
         if self.handlers.pop(fd, None) is not None:
             self.poll.unregister(fd)
 
-    def since(self) -> int:
+    def earliest_arrival(self) -> int:
         """No byte that is read in this turn came before: the last look found none."""
-        return self.before
+        return self.previous_poll
 
-    def turn(self) -> None:
+    def run_once(self) -> None:
         entered = self.now
         wait = max(0, min(self.heap[0][0] - entered, SECOND)) if self.heap else SECOND
         ready = self.poll.poll(wait / SECOND)
         now = self.now
         blocked = now - entered > MS
-        self.before, self.looked = now if blocked else self.looked, now
+        self.previous_poll, self.last_poll = now if blocked else self.last_poll, now
         for fd, mask in ready:
             handler = self.handlers.get(fd)
             if handler is not None:  # else ended by one before it in this turn
@@ -117,5 +122,5 @@
 
     def run(self) -> None:
         while not self.stopped:
-            self.turn()
+            self.run_once()
         self.flush()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -23,11 +23,11 @@
 from molehill.emulator.scenario import Fault, FleetPlan
 from molehill.emulator.world import START
 from molehill.fleet import checker, members, play
-from molehill.fleet.cable import Cables
-from molehill.fleet.history import History, read, whole
-from molehill.fleet.places import Places, claim
+from molehill.fleet.addresses import AddressPlan, claim_slot
+from molehill.fleet.history import History, read, resolve_proxy_events
+from molehill.fleet.proxy import Proxies
 from molehill.fleet.shims import Control, FailingCalls, write_control
-from molehill.fleet.sockets import Network, between
+from molehill.fleet.sockets import Network, connection_name
 from molehill.fleet.world import World
 
 FIVE = Path(__file__).parent.parent / "docs" / "five.toml"
@@ -58,7 +58,7 @@
     assert play.judge(tmp_path)["word"] == checker.KEPT
 
 
-def test_five_that_know_of_each_other_one_deaf_one_paused_one_killed(tmp_path):
+def test_membership_of_five_relays_one_deaf_one_paused_one_killed(tmp_path):
     """Membership in real processes: alone and lost in time, nobody lost for nothing, all agree again."""
     verdict = play.play(
         scenarios.load(FIVE.with_name("members.toml").read_text(encoding="utf-8")),
@@ -72,7 +72,7 @@
     ), verdict["findings"]
     told = CliRunner().invoke(main, ["fleet", "members", str(tmp_path)]).output
     assert told.count("connected for") == 5 and told.count(" alive ") == 20
-    said = members.says(tmp_path, read(tmp_path))
+    said = members.membership_events(tmp_path, read(tmp_path))
     assert {
         facts["now"]
         for _, who, event, facts in said
@@ -209,10 +209,10 @@
         ([0, 646], 20, False),
     ],
 )
-def test_a_relay_that_stands_where_nothing_else_does_stands_by_itself(stood, late_ms, alone):
+def test_a_stall_of_one_relay_alone_is_its_own(stood, late_ms, alone):
     """Danger: a loop that spins in a relay is taken for a busy machine, and the day that shows it for void."""
     assert (
-        checker.stands_by_itself(
+        checker.stalled_alone(
             {f"relay{n}": ms for n, ms in enumerate(stood)},
             {"hosts": late_ms * MS, "conductor": 500 * MS},
         )
@@ -256,40 +256,43 @@
 # Cables
 
 
-class Wire:
+class ProxyHarness:
     """A cable process's inside, with two relays' sockets at its ends and no script but the test's."""
 
     def __init__(self, *faults):
         self.scenario = simple_scenario(relays=2, faults=list(faults))
-        self.slot, self.claim = claim()
-        self.world, places = World("cables", 1), Places(self.slot)
+        self.slot, self.claim = claim_slot()
+        self.world, address_plan = World("cables", 1), AddressPlan(self.slot)
         self.network, self.script = Network(self.world, ["relay0", "relay1"]), Run(self.scenario)
         self.script.world = self.world  # what lies over what ends on the real clock here
-        self.cables = Cables(
+        self.cables = Proxies(
             self.world,
             self.network,
             self.scenario,
-            places,
+            address_plan,
             [("relay0", "relay1"), ("relay1", "relay0")],
         )
         self.ends = []
         for n in (0, 1):
             sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            sock.bind((places.relay(n)[0], 7000))
+            sock.bind((address_plan.relay(n)[0], 7000))
             sock.setblocking(False)
             self.ends.append(sock)
-        self.doors = [(places.words(0, 1)[0], 8000), (places.words(1, 0)[0], 8000)]
+        self.doors = [
+            (address_plan.membership(0, 1)[0], 8000),
+            (address_plan.membership(1, 0)[0], 8000),
+        ]
         self.world.begin(time.monotonic_ns())
 
-    def say(self, n, data):
+    def send(self, n, data):
         self.ends[n].sendto(data, self.doors[n])
 
-    def turn(self, span_ms=30):
+    def run_for(self, span_ms=30):
         until = self.world.now + span_ms * MS
         while self.world.now < until:
-            self.world.turn()
+            self.world.run_once()
 
-    def heard(self, n):
+    def received(self, n):
         found = []
         while True:
             try:
@@ -301,7 +304,11 @@
             assert address == self.doors[n]
 
     def close(self):
-        for sock in (*self.ends, *(door.sock for door in self.cables.doors.values()), self.claim):
+        for sock in (
+            *self.ends,
+            *(door.sock for door in self.cables.datagram_sockets.values()),
+            self.claim,
+        ):
             sock.close()
         for listener in list(self.network.machine("cables").listeners):
             listener.close()
@@ -313,7 +320,7 @@
     made = []
 
     def make(*faults):
-        made.append(Wire(*faults))
+        made.append(ProxyHarness(*faults))
         return made[-1]
 
     yield make
@@ -323,15 +330,17 @@
 
 def test_a_cut_of_one_direction_leaves_the_other_and_counts_what_it_took(wire):
     w = wire()
-    w.cables.falls(w.script, Fault("cut", 0, "relay0>relay1", 40))
+    w.cables.start_fault(w.script, Fault("cut", 0, "relay0>relay1", 40))
     for n in (0, 1):
-        w.say(n, b"in the cut")
-    w.turn(20)
-    assert w.heard(1) == [] and w.heard(0) == [b"in the cut"]
-    w.turn(40)
-    w.say(0, b"after it")
-    w.turn()
-    assert w.heard(1) == [b"after it"] and w.cables.way("relay0", "relay1").counts == {"cut": 1}
+        w.send(n, b"in the cut")
+    w.run_for(20)
+    assert w.received(1) == [] and w.received(0) == [b"in the cut"]
+    w.run_for(40)
+    w.send(0, b"after it")
+    w.run_for()
+    assert w.received(1) == [b"after it"] and w.cables.direction("relay0", "relay1").counts == {
+        "cut": 1
+    }
 
 
 @pytest.mark.parametrize(
@@ -350,20 +359,20 @@
         ("narrow", 2000.0, lambda said, heard: heard == said),
     ],
 )
-def test_what_a_cable_does_to_datagrams(wire, kind, worth, check):
+def test_proxy_faults_on_datagrams(wire, kind, worth, check):
     w, said = wire(), [b"%04d" % n for n in range(20)]
-    w.cables.falls(w.script, Fault(kind, 0, "relay0>relay1", 60, worth))
+    w.cables.start_fault(w.script, Fault(kind, 0, "relay0>relay1", 60, worth))
     for data in said:
-        w.say(0, data)
-    w.turn(150)
-    heard = w.heard(1)
+        w.send(0, data)
+    w.run_for(150)
+    heard = w.received(1)
     assert check(said, heard), heard
-    assert w.cables.way("relay0", "relay1").counts[kind] > 0
+    assert w.cables.direction("relay0", "relay1").counts[kind] > 0
 
 
-def test_what_a_cable_saw_is_told_of_the_right_one_of_two_connections_from_one_port():
+def test_proxy_events_belong_to_the_right_connection_of_one_port():
     """Danger: one port of the cable's leads to two hosts; that a relay hung up on one was taken for both, and an answer for none."""
-    ends = [between(("127.0.0.1", 40000), (f"127.9.1{n}.1", 8081)) for n in (0, 1)]
+    ends = [connection_name(("127.0.0.1", 40000), (f"127.9.1{n}.1", 8081)) for n in (0, 1)]
     rows = [
         (n, f"h1-{n}", "accepted", dict(conn=f"hosts-{n}", peer=peer))
         for n, peer in enumerate(ends)
@@ -376,7 +385,7 @@
         (11 * MS, "h1-0", "call", dict(conn="hosts-0", since=10 * MS)),
         (12 * MS, "cables", "hung up", dict(peer=ends[0])),
     ]
-    told = whole(rows)
+    told = resolve_proxy_events(rows)
     assert told[-1] == (12 * MS, "cables", "hung up", {"conn": "hosts-0"})
     assert [facts["since"] // MS for _, _, what, facts in told if what == "call"] == [2, 9, 10]
 
@@ -482,7 +491,7 @@
     )
     found = checker.faults_hit(history, scenario)[0]
     assert (
-        checker.touched(history, scenario) == [2, 0, 3]
+        checker.count_touched(history, scenario) == [2, 0, 3]
         and found.word == checker.VOID
         and "silent on h1-1" in found.text
     )
@@ -497,13 +506,13 @@
         ("conductor", 300 * MS, checker.KEPT),
         ("conductor", 2000 * MS, checker.VOID),
     ):
-        history.late = {process: late}
-        assert checker.in_time(history, simple_scenario())[0].word == word
-    history.late = {"hosts": 0}
+        history.lateness = {process: late}
+        assert checker.rig_in_time(history, simple_scenario())[0].word == word
+    history.lateness = {"hosts": 0}
     (tmp_path / "relay0.log").write_text("event='counts' relay='relay0' stood_ms=400\n")
-    assert checker.in_time(history, simple_scenario())[0].word == checker.VOID
+    assert checker.rig_in_time(history, simple_scenario())[0].word == checker.VOID
     assert (
-        checker.in_time(history, simple_scenario(faults=[Fault("freeze", 100, "relay0", 400)]))[
+        checker.rig_in_time(history, simple_scenario(faults=[Fault("freeze", 100, "relay0", 400)]))[
             0
         ].word
         == checker.KEPT
