--- a/molehill/core/host_table.py
+++ b/molehill/core/host_table.py
@@ -51,7 +51,7 @@
         return self.by_id.values()
 
     def set_health(self, host: str, slow_start_end: Optional[int]) -> None:
-        """Records a host's ejection, also over restarts (rule 4: an ejected host gets one probe).
+        """Records a host's ejection, also over restarts (for rule 4 of core/permission.py).
 
         It counts as ejected while `slow_start_end` is None, and then until `slow_start_end`, when
         it has answered for the whole slow start.
--- a/molehill/core/permission.py
+++ b/molehill/core/permission.py
@@ -9,12 +9,15 @@
 counted as broken invariants.
 
 The rules, by number:
-1. A callback has one end, by its deadline, and is not sent after it.
-2. It has one attempt at a time, and is repeated only as its class allows.
-3. A host that is not listed as up gets no new call.
-4. An ejected host gets one probe at a time (kept by the decision module, not here).
-5. Callbacks of one key are sent in order.
-6. A route with a Retry-After gets no call until that is over.
+1. An accepted callback gets exactly one final answer, over restarts and upgrades. A callback that
+   is given up is answered at once.
+2. No callback takes effect twice: it has one attempt at a time, and is repeated only as its class
+   allows.
+3. A host that is draining or gone gets no new call after the drain's grace period.
+4. A host that returns after an outage gets no more calls than slow start's budget allows (kept by
+   the decision module, not by this one).
+5. Callbacks of one key are sent in order, with a cooldown after an attempt that may still run.
+6. A Retry-After is respected.
 """
 
 from enum import Enum
