--- a/molehill/core/callback.py
+++ b/molehill/core/callback.py
@@ -1,7 +1,7 @@
 """Defines a callback as the reducer holds it, its states, and a call that has not ended."""
 
 # States of a callback; the strings are written to log lines.
-# RECEIVED: read from the client, and the module has not seen it yet.
+# RECEIVED: read from the client; the decision module has not received it yet.
 # LOGGED: in the log, and the answer 202 has been requested.
 # ACKNOWLEDGED: the client has been told that it is accepted.
 # NOTICE_PENDING: ended, and the platform has not answered its final notice yet.
@@ -57,7 +57,7 @@
     )
 
     def __init__(self, submission, digest):
-        # recognizes a copy of the request; None: unknown, as it was read from an older log
+        # identifies a copy of the request; None: unknown, as it was read from an older log
         self.digest = digest
         self.id, self.callback_class, self.tenant, self.key = (
             submission.id,
@@ -75,7 +75,8 @@
         self.attempts, self.ran_at, self.ran_zone = 0, None, None
         # earliest time of its final notice: a call of it may still be on its way
         self.notice_not_before = 0
-        # latest time of its final notice, if later than its deadline allows: it outlived a process
+        # latest time of its final notice, if later than its deadline allows: the process that
+        # accepted the callback has ended
         self.notice_not_after = 0
         # call that was given up -> until when its host may read it; None: there was none yet
         self.unread_calls = None
@@ -94,7 +95,7 @@
         self.unread_calls[call] = deadline
 
     def earliest_notice(self) -> int:
-        """Returns from when on its notice can no longer be read before one of its calls."""
+        """Returns the time from which its notice can no longer be read before one of its calls."""
         return (
             max(self.notice_not_before, *self.unread_calls.values())
             if self.unread_calls
--- a/molehill/core/classes.py
+++ b/molehill/core/classes.py
@@ -40,14 +40,14 @@
 
     def update(self, names, definitions, held) -> None:
         """Applies new settings. `held`: the class numbers of pending callbacks."""
-        wanted = list(zip(names, definitions))
+        new_classes = list(zip(names, definitions))
         used = set(held) | {
             number
             for number, known in enumerate(zip(self.names, self.definitions))
-            if known in wanted
+            if known in new_classes
         }
         self.numbers = {}
-        for name, definition in wanted:
+        for name, definition in new_classes:
             self.numbers[name] = self.assign_number(name, definition, used)
             used.add(self.numbers[name])
 
@@ -68,7 +68,7 @@
         )
 
     def resolve_number(self, number: int) -> int:
-        """Returns the number here of a class number in the log.
+        """Returns the number in this table for a class number of the log.
 
         An older log has no class records, and its numbers are those of the settings. Raises
         KeyError for an unknown number.
--- a/molehill/core/events.py
+++ b/molehill/core/events.py
@@ -81,7 +81,7 @@
 
 @dataclass(slots=True)
 class AnswerWritten:
-    """The answer that the callback is accepted has been written to that client."""
+    """The answer 202, which accepts the callback, has been written to that client."""
 
     id: str
     client: object
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True)
 class AnswerNotWritten:
-    """That client was gone before its answer, or its time for an answer is up."""
+    """That client disconnected before its answer was written, or waited too long for it."""
 
     id: str
     client: object
@@ -168,7 +168,7 @@
 
 @dataclass(slots=True)
 class Step:
-    """The decision module is to process what has come in since the last step."""
+    """The decision module is to process the events that arrived since the last step."""
 
 
 @dataclass(slots=True)
@@ -180,7 +180,7 @@
 
 @dataclass(slots=True)
 class PauseCalls:
-    """No call is started while `paused`: the next process of this relay is to take over."""
+    """No call is started while `paused`, as the next process of this relay is to take over."""
 
     paused: bool
 
@@ -223,7 +223,7 @@
     id: str
     status: int
     retry_after: int = 0
-    reason: str = ""  # why it was answered so, where the status does not tell
+    reason: str = ""  # why the client gets this status, where the status alone does not say it
 
 
 @dataclass(slots=True)
--- a/molehill/core/final_notices.py
+++ b/molehill/core/final_notices.py
@@ -62,7 +62,7 @@
             )
 
     def pop_call(self, call: int) -> list[str]:
-        """Forgets a call of whose host nothing more will be known; returns its callback ids."""
+        """Forgets a call about which nothing more will be known; returns its callback ids."""
         return self.given_up_calls.pop(call, [])
 
     def delay_after_recovery(self, callback, sent_at: int) -> None:
@@ -73,6 +73,6 @@
         callback.notice_not_before = max(callback.notice_not_before, sent_at + self.connect_timeout)
 
     def extend_after_start(self, callbacks: Iterable, now: int) -> None:
-        """Allows a later notice for callbacks that outlived the process that accepted them."""
+        """Allows a later notice for callbacks that were accepted by an earlier process."""
         for callback in callbacks:
             callback.notice_not_after = now + LATEST_AFTER_START
--- a/molehill/core/host_list.py
+++ b/molehill/core/host_list.py
@@ -93,9 +93,9 @@
             return []
         received = [row_from_host(host) for host in hosts]
         if is_complete:
-            named = {row.name for row in received}
-            missing = [row for name, row in self.rows.items() if name not in named]
-            received += [row._replace(status=LEFT) for row in missing]
+            received_names = {row.name for row in received}
+            missing_rows = [row for name, row in self.rows.items() if name not in received_names]
+            received += [row._replace(status=LEFT) for row in missing_rows]
         changed = [row for row in received if self._is_change(row)]
         for row in changed:
             self._store_row(row)
--- a/molehill/core/host_table.py
+++ b/molehill/core/host_table.py
@@ -83,21 +83,21 @@
     def apply_list(self, hosts: list[ev.Host], is_complete: bool) -> list[str]:
         """Applies the whole list (`is_complete`) or its changes.
 
-        Returns the ids of hosts whose idle connections are of no use any more.
+        Returns the ids of hosts whose idle connections can't be used any more.
         """
         if is_complete:
-            named = {host.id for host in hosts}
-            for host in [host for host in self.by_id.values() if host.id not in named]:
+            listed_ids = {host.id for host in hosts}
+            for host in [host for host in self.by_id.values() if host.id not in listed_ids]:
                 host.condition = interface.Condition.GONE
                 self._update_gauges(host.id)
-        stale = []
+        hosts_with_stale_connections = []
         for host in hosts:
             before = self.by_id.get(host.id, host)
             self.by_id[host.id] = host
             if host.condition is interface.Condition.GONE or before.address != host.address:
-                stale.append(host.id)
+                hosts_with_stale_connections.append(host.id)
             self._update_gauges(host.id)
-        return stale
+        return hosts_with_stale_connections
 
     def set_retry_time(self, route: object, until: int) -> None:
         """Records a host's Retry-After for its route; a later end that is known already stays."""
--- a/molehill/core/metrics.py
+++ b/molehill/core/metrics.py
@@ -1,8 +1,8 @@
 """Holds the metrics that operators read.
 
-Each is updated in the one place where the reducer or the network makes that change. Counters run
-from the start of the process. Gauges are updated as changes happen, never by a walk over everything
-that is held.
+Each is updated in the one place where the reducer or the network makes that change. Counters start
+at 0 with the process. Gauges are updated as changes happen, never by iterating over all callbacks
+or hosts.
 """
 
 from collections import Counter
@@ -21,8 +21,8 @@
 class Metrics:
     """Counters and gauges of one relay.
 
-    `end_counts`: class name -> how many callbacks ended in each way. A class that vanished from the
-    settings keeps its counts.
+    `end_counts`: class name -> how many callbacks ended in each way. A class that was removed from
+    the settings keeps its counts.
     """
 
     def __init__(self, classes):
--- a/molehill/core/permission.py
+++ b/molehill/core/permission.py
@@ -1,12 +1,12 @@
 """Decides whether a callback may be sent to a host now; no other place decides this.
 
-It is asked when a call is started, when its connection is up, and again after the append of its
-attempts, right before its first byte.
+The check is made when a call is started, when its connection is up, and again after the append of
+its attempts, right before its first byte.
 
-The decision module chooses what goes where; these rules hold whatever it chooses. Some refusals are
-ordinary: things change between the choice and the call, and the callback goes back to the module.
-The module has to exclude the others (`Refusal.is_fault`) itself. They are refused all the same, and
-counted as broken invariants.
+The decision module chooses the host of each callback; these rules hold whatever it chooses. Some
+refusals are ordinary: the state changes between the choice and the call, and the callback is
+returned to the module. The module has to exclude the other cases (`Refusal.is_fault`) itself. They
+are refused as well, and counted as broken invariants.
 
 The rules, by number:
 1. An accepted callback gets exactly one final answer, over restarts and upgrades. A callback that
--- a/molehill/core/recovery.py
+++ b/molehill/core/recovery.py
@@ -135,8 +135,10 @@
         untried = [
             callback for callback in self.core.callbacks.values() if self._looks_untried(callback)
         ]
-        named = [callback for callback in untried if b'"%s"' % callback.id.encode() in data]
-        for callback in named or untried:
+        named_callbacks = [
+            callback for callback in untried if b'"%s"' % callback.id.encode() in data
+        ]
+        for callback in named_callbacks or untried:
             callback.attempts += 1
             callback.current_attempt = LONG_AGO, None
 
--- a/molehill/core/reducer.py
+++ b/molehill/core/reducer.py
@@ -2,10 +2,10 @@
 
 `Core.reduce` takes an event and returns effects, which the caller carries out in order. The reducer
 does no input or output and reads no clock. `Step` events drive the decision module of
-molehill/decisions/ with everything that came in since the last one. The calls that it asks for
-become effects, and are held back only while a call may not start yet: the client has not been told
-that the callback is accepted, or an earlier callback of the same key ended with a final notice that
-the platform has not answered.
+molehill/decisions/ with all events since the last step. The calls that it asks for become effects.
+They are delayed only while a call may not start yet: the client has not been told that the callback
+is accepted, or an earlier callback of the same key ended with a final notice that the platform has
+not answered.
 """
 
 from collections import Counter
@@ -106,8 +106,8 @@
         self.calls_paused, self.inherited_calls = False, {}
         # the log takes no records: no call is started either
         self.log_failing = False
-        # after a restart no call is started before discovery has answered or failed, or until this
-        # time
+        # after a restart no call is started before discovery has answered or failed, or this time
+        # has come
         self.list_deadline: Optional[int] = None
         self.handlers = {
             ev.Startup: self._on_start,
@@ -264,7 +264,10 @@
             self._accept_new(Callback(submission, digest), event.client)
 
     def _answer_copy(self, existing, client):
-        """Answers a request that was sent again on a new connection; both connections get it."""
+        """Answers a request that was sent again on a new connection.
+
+        Each of its connections gets the answer.
+        """
         if existing.state in (RECEIVED, LOGGED):
             existing.clients.append(client)
         if existing.state is not RECEIVED:
@@ -464,7 +467,7 @@
         self._check_overdue()
 
     def _accept(self, callback_id):
-        """Accepts a callback that the module keeps; the client is told once that is logged."""
+        """Accepts a callback that the module keeps; its client is answered once it is logged."""
         callback = self.callbacks.get(callback_id)
         if callback is not None and callback.state is RECEIVED:
             self._log("taken", callback.body, **recovery.submitted_fields(callback))
@@ -517,8 +520,8 @@
         for call in list(self.queued_calls.values()):
             if self._queued_until(call) <= self.now:
                 for callback in self.find_callbacks(call.ids):
-                    late = self.now >= callback.deadline
-                    reason = Refusal.TIME_UP if late else Refusal.KEY_BLOCKED
+                    is_past_deadline = self.now >= callback.deadline
+                    reason = Refusal.TIME_UP if is_past_deadline else Refusal.KEY_BLOCKED
                     self._report_not_sent(callback.id, call.host, reason)
                 self._unqueue(call, list(call.ids))
         events += self.inbox
@@ -534,7 +537,7 @@
             # this check belongs to a callback withdrawn earlier under the same id
             if callback.deadline + self.OVERDUE_CHECK_DELAY > self.now:
                 continue
-            # after the process stood still, the outcome of its call may be on its way
+            # after a stall of the process, the outcome of the callback's call may not be read yet
             if callback.call is not None and not is_second_check:
                 heappush(
                     self.overdue_checks,
@@ -620,14 +623,14 @@
             self._log_attempts(call)
 
     def _log_attempts(self, call):
-        ours = [c for c in self.find_callbacks(call.ids) if c.call == call.number]
+        current_callbacks = [c for c in self.find_callbacks(call.ids) if c.call == call.number]
         call.is_logged = True
-        if ours:
+        if current_callbacks:
             self._log(
                 "launch",
-                ids=[c.id for c in ours],
-                at=ours[0].current_attempt[0],
-                zone=ours[0].current_attempt[1],
+                ids=[c.id for c in current_callbacks],
+                at=current_callbacks[0].current_attempt[0],
+                zone=current_callbacks[0].current_attempt[1],
                 call=call.number,
             )
 
@@ -647,7 +650,7 @@
         return refusal is None
 
     def _report_not_sent(self, callback_id, host, reason) -> None:
-        """Counts and logs why a callback that was chosen for a host did not go there."""
+        """Counts and logs why a callback was not sent to the host that was chosen for it."""
         self.refusal_counts[reason] += 1
         self.metrics.not_sent[reason] += 1
         check_invariant(not reason.is_fault, "may_be_sent", id=callback_id, why=reason.value)
@@ -681,8 +684,8 @@
     def refusal(self, call_number, now) -> Optional[Refusal]:
         """Returns why that call may not be written any more, or None. Changes nothing.
 
-        It takes time until a connection is up and until an attempt is appended to the log.
-        Meanwhile callbacks end, hosts drain, and deduplication windows run out.
+        Connecting and appending the attempts to the log take time. Meanwhile callbacks may end,
+        hosts may begin to drain, and deduplication windows may run out.
         """
         call = self.calls.get(call_number)
         if call is None:
@@ -813,11 +816,11 @@
             changed = self.received_list.update(
                 event.hosts, is_complete, event.version, event.source
             )
-            # logged before it is acted on: the next process knows only what is written
+            # logged before it takes effect: the next process knows only the log
             if changed:
                 self._log("list", **self.received_list.as_record(changed))
-            stale = self.hosts.apply_list(event.hosts, is_complete)
-            self.effects += [ev.CloseIdle(host) for host in stale]
+            hosts_with_stale_connections = self.hosts.apply_list(event.hosts, is_complete)
+            self.effects += [ev.CloseIdle(host) for host in hosts_with_stale_connections]
         busy = {call.host for call in (*self.calls.values(), *self.queued_calls.values())}
         self.hosts.drop_expired(busy, self.now)
         if event.scope is not interface.ListScope.RESTORED and self.list_deadline is not None:
@@ -856,7 +859,7 @@
         self.effects += [ev.Append(record) for record in self.classes.records()]
         self.inbox.append(interface.NewSettings(self.settings))
 
-    # many times what discovery takes to answer; callbacks lose little of their time by the wait
+    # many times the span in which discovery answers, and a small part of a callback's time limit
     LIST_TIMEOUT = 300 * MS
 
     def _on_start(self, _):
@@ -869,12 +872,12 @@
         if self.is_restart:
             self.list_deadline = self.now + self.LIST_TIMEOUT
         self.effects += [ev.Append(record) for record in self.classes.records()]
-        interrupted = [
+        interrupted_callbacks = [
             callback
             for callback in self.callbacks.values()
             if callback.current_attempt is not None and callback.call is None
         ]
-        for callback in interrupted:
+        for callback in interrupted_callbacks:
             self.final_notices.delay_after_recovery(
                 callback, callback.current_attempt[0] or self.now
             )
@@ -887,15 +890,15 @@
             )
         self.unsettled_keys = {}
         # otherwise, after another kill, the next process would not know these keys' cooldowns
-        if interrupted:
+        if interrupted_callbacks:
             self._log(
                 "end",
-                ends=[[c.id, Result.RESET.value, False, False] for c in interrupted],
+                ends=[[c.id, Result.RESET.value, False, False] for c in interrupted_callbacks],
                 at=self.now,
             )
         for callback in self.callbacks.values():
             if callback.state is NOTICE_PENDING:
-                # this process has to bring about its end, and so counts it
+                # its notice is sent by this process, which therefore counts its end
                 self._count_end(callback, THROTTLED if callback.rejected else FAULTED)
                 self._send_notice(callback)
             else:
@@ -954,8 +957,8 @@
         """
         for call in self.calls.values():
             self.effects.append(ev.Abort(call.number))
-        interrupted = [c for c in self.callbacks.values() if c.call is not None]
-        for callback in interrupted:
+        interrupted_callbacks = [c for c in self.callbacks.values() if c.call is not None]
+        for callback in interrupted_callbacks:
             was_logged = (
                 self.calls[callback.call].is_logged if callback.call in self.calls else True
             )
--- a/molehill/decisions/admission.py
+++ b/molehill/decisions/admission.py
@@ -31,7 +31,7 @@
         known_destination = state.destinations.get(new_callback.destination)
         # A relay that starts while discovery is down knows outdated hosts or none. Callbacks that
         # were accepted before are not rejected for that, nor because of others that arrive in the
-        # same step: they had their place and their quota when they arrived.
+        # same step: there was room and quota for them when they arrived.
         if not new_callback.already_accepted and (
             known_destination is None or not known_destination.known_endpoint_count
         ):
@@ -95,8 +95,8 @@
         """Evicts a waiting callback while the relay is nearly full.
 
         Otherwise callbacks for an overloaded destination fill the relay, and new ones for healthy
-        destinations are rejected on arrival. The one with the least expected value for the time it
-        occupies its place is given up at once, but none that a restart found without an attempt.
+        destinations are rejected on arrival. The callback with the least expected value per time
+        until its delivery is given up at once, but none that a restart found without an attempt.
         """
         limit, callbacks = self.state.settings.max_pending, self.state.callbacks_by_id
         if limit is None or len(callbacks) < limit - limit // RESERVE_DIVISOR:
--- a/molehill/decisions/call_scheduler.py
+++ b/molehill/decisions/call_scheduler.py
@@ -16,7 +16,7 @@
 # quarters of max_calls that one destination may use
 HEALTHY_QUARTERS, DEGRADED_QUARTERS = 3, 2
 LOOK_AHEAD = SECOND  # about the time in which a short queue is served once
-TIE_BREAK_FACTOR = 1.001  # of two that lose the same by waiting, the more valuable goes first
+TIE_BREAK_FACTOR = 1.001  # of two that lose the same by waiting, the more valuable is sent first
 # factor on the odds of a host with an idle connection: a handshake costs time, work and a fee
 IDLE_CONNECTION_ODDS = 3.0
 MIN_ROOM = 0.25  # calls, for the odds
@@ -35,12 +35,12 @@
     ) -> None:
         self.state, self.lifecycle = state, lifecycle
         self.health, self.idle_connections = health, idle_connections
-        self.destinations_at_limit: dict[int, bool] = {}  # that only max_calls held back
+        self.destinations_at_limit: dict[int, bool] = {}  # limited by max_calls alone
 
     def start_calls(self) -> None:
         """Starts calls to each destination that has to be checked.
 
-        While max_calls holds destinations back, they go in the order of value for a call's time.
+        While max_calls limits them, destinations with the most value for a call's time come first.
         """
         state = self.state
         candidates = {**self.destinations_at_limit, **state.destinations_to_check}
@@ -74,7 +74,8 @@
             if endpoint is not None:
                 return endpoint, callback
             if callback.repeat_zone is None:
-                return None  # only one bound to a zone can lack an endpoint where others have one
+                # Only a callback bound to a zone can lack an endpoint where others have one.
+                return None
         return None
 
     def _queue_heads(self, destination: Destination) -> list[Callback]:
@@ -193,7 +194,7 @@
     def _start_call(self, destination: Destination, endpoint: Endpoint, callback: Callback) -> None:
         """Starts a call with this callback.
 
-        If the host's kind takes several, the destination's next callbacks go in the same call.
+        If the host's kind takes several, the call also has the destination's next callbacks.
         """
         state, limiter, now = self.state, endpoint.limiter, self.state.now
         is_unused = (
--- a/molehill/decisions/dispatcher.py
+++ b/molehill/decisions/dispatcher.py
@@ -21,7 +21,7 @@
 
 
 class Dispatcher:
-    """Decides for one relay; it has no clock, input or output of its own."""
+    """Decides for one relay; it reads no clock and does no input or output."""
 
     def __init__(self, settings: interface.Settings, seed: interface.Id) -> None:
         self.state = State(settings, seed)
--- a/molehill/decisions/endpoint.py
+++ b/molehill/decisions/endpoint.py
@@ -7,7 +7,7 @@
 from molehill.decisions.limiter import SECOND, Limiter
 
 # HEALTHY: limited by the window alone. EJECTED: gets one probe at a time. SLOW_START: answers again
-# and is limited by the rate of slow start. The values are those in the rows of log and handover.
+# and is limited by the rate of slow start. The values are written to the log and handed over.
 HEALTHY, EJECTED, SLOW_START = "open", "closed", "ramp"
 
 CALLBACK_RATE_SPAN = 60 * SECOND  # over a minute, bursts average out
@@ -65,7 +65,7 @@
         self.state, self.state_since = state, now
         self.calls_in_flight = 0
         self.failure_share = 0.0  # share of its calls that failed, smoothed
-        self.next_call_at = 0  # no call is allowed before
+        self.next_call_at = 0  # no call is allowed before this time
         self.idle_since = 0  # since when a connection to it is idle; 0: none
         # failed calls since its last successful answer, and when the first of them was sent
         self.failures_since_success, self.failing_since = 0, 0
--- a/molehill/decisions/endpoint_health.py
+++ b/molehill/decisions/endpoint_health.py
@@ -1,7 +1,7 @@
-"""What the outcome of a call means for its endpoint.
+"""Applies the outcome of a call to its endpoint.
 
-It changes the window, ejects the endpoint or returns it to service, and sets the backoff after
-failures and refusals.
+The outcome changes the window, ejects the endpoint or returns it to service, and sets the backoff
+after failures and refusals.
 """
 
 from molehill import interface
@@ -130,8 +130,8 @@
         self, endpoint: Endpoint, succeeded: bool, sent_at: int, result: Result
     ) -> None:
         """Ejects the endpoint or returns it to service after a call that was sent at that time."""
-        failed = 0.0 if succeeded else 1.0
-        endpoint.failure_share += (failed - endpoint.failure_share) * FAILURE_SMOOTHING
+        failure = 0.0 if succeeded else 1.0
+        endpoint.failure_share += (failure - endpoint.failure_share) * FAILURE_SMOOTHING
         if succeeded:
             if endpoint.state is EJECTED and sent_at >= endpoint.state_since:
                 self._begin_slow_start(endpoint)
--- a/molehill/decisions/idle_connections.py
+++ b/molehill/decisions/idle_connections.py
@@ -3,8 +3,8 @@
 from molehill.decisions.endpoint import Call
 from molehill.interface import Result
 
-# calls: some seconds of a small relay's, the time in which crowding at a host eases; each of them
-# costs one handshake more
+# calls that a small relay makes in some seconds, the time in which a host has room for connections
+# again; each of them costs one handshake more
 SCARCE_CALLS = 32
 LOSS_SMOOTHING = 0.25
 LOSS_MARGIN = 0.5  # excess of lost calls over those on new connections; reached by three losses
@@ -12,7 +12,7 @@
 
 
 class IdleConnections:
-    """What recent calls show about connections that had been idle."""
+    """Measures by recent calls whether connections that had been idle can still be used."""
 
     # handed over to the next process: key in the row -> attribute
     HANDED_OVER = {"worn_span": "suspect_span", "worn": "idle_loss_share", "new": "new_loss_share"}
--- a/molehill/decisions/lifecycle.py
+++ b/molehill/decisions/lifecycle.py
@@ -10,8 +10,8 @@
 from molehill.decisions.state import State
 from molehill.interface import DeliverySemantics
 
-# A client counts its deadline from the time it sent the callback. This covers the way to the relay
-# and one batch, as batches are at least that far apart.
+# A client counts its deadline from the time it sent the callback. This span covers the transit to
+# the relay and one batch, as batches are at least that far apart.
 CLIENT_DELAY = SECOND // 200
 REPEAT_WINDOW_SHARE = 15, 16  # of the deduplication window; the rest is for a new connection
 LATENCY_DIVISOR = 16  # an expected latency counts up to 1/16 of the class's time limit
@@ -42,7 +42,7 @@
 
     def _enqueue(self, callback: Callback, destination: Destination) -> None:
         # After an outage all waiting callbacks are late, and with the oldest first none would be in
-        # time again. So those that lose no more value by waiting go after the rest. Each attempt
+        # time again. So those that lose no more value by waiting are sent last. Each attempt
         # moves a callback back by one second in the order.
         callback.is_at_value_floor = self.state.now >= callback.value_floor_at
         queue_key = (callback.queue_group, callback.may_have_run, callback.repeat_zone)
@@ -98,7 +98,7 @@
     def may_attempt(self, callback: Callback) -> bool:
         """Rule 2: whether an attempt is allowed now.
 
-        It has to leave time for an answer: else, in a long queue, all are sent too late for one.
+        There has to be time for an answer: else, in a long queue, all callbacks are sent too late.
         """
         latest_end = callback.deadline
         if callback.may_have_run:
@@ -121,8 +121,8 @@
         if not self.may_attempt(callback):
             self.give_up(callback)
         elif self.state.now < callback.deadline:
-            # It was too late for a latency that has decreased since. It may still wait for its key,
-            # and nothing else checks it.
+            # The latency that left no time for it has decreased since. The callback may still wait
+            # for its key, and nothing else checks its deadline.
             self.state.schedule(callback.deadline, self.check_deadline, callback_id)
 
     def reject_retry_after(self) -> int:
--- a/molehill/decisions/limiter.py
+++ b/molehill/decisions/limiter.py
@@ -156,8 +156,8 @@
         """Learns a rate from a refusal.
 
         At a rate limit latency stays flat, so the served rate becomes the learned rate. Where
-        limits are advertised and this route's is not, it has none: the refusal came from a draining
-        host or a full queue.
+        limits are advertised and this route's is not, the route has no limit: the refusal came from
+        a draining host or a full queue.
         """
         span = max(SECOND, now - self.served_since)
         served_rate = max(self.served_rate, self.served_count * SECOND / span)
@@ -169,7 +169,7 @@
         self.credit, self.credit_updated_at = 0.0, now
 
     def set_advertised(self, rate: float, share_left: Optional[float]) -> None:
-        """Takes the limit from an answer; zero and None where it advertises nothing.
+        """Sets the limit that an answer advertises; zero and None if it advertises none.
 
         Refused calls use up an advertised limit too, and many relays that each learn from refusals
         alone exceed it all day. So each relay calls at its even share of the limit, more while much
--- a/molehill/decisions/pacing.py
+++ b/molehill/decisions/pacing.py
@@ -1,8 +1,8 @@
-"""Rate pacing: a token bucket at the rate that a host advertises or that refusals taught."""
+"""Rate pacing: a token bucket at the rate that a host advertises or that refusals showed."""
 
 from molehill.decisions.limiter import SECOND, Limiter
 
-BURST_SECONDS = 0.3  # seconds of the rate that may go at once; limits have at least that depth
+BURST_SECONDS = 0.3  # seconds of the rate, sent at once; limits allow at least such a burst
 # 1/5 of an even share with nothing left of the limit, 5 with all of it left; with half left, which
 # is the mean over a span, the rate is the even share
 RATE_SPREAD = 5.0
@@ -34,9 +34,10 @@
         advertised, low_rate * max(1.0, high_rate / low_rate) ** limiter.advertised_share_left
     )
     if even_share > LOW_RATE_FLOOR:  # else no others arrive in time
-        # Small calls use up a limit that counts calls. So a callback waits for more to go with it,
-        # unless much of the limit is left: half is the mean over a span in which all of it is used.
-        # The wait is bounded, as callbacks of one key go one by one and never fill a call.
+        # Small calls use up a limit that counts calls. So a callback waits for more to be sent with
+        # it, unless much of the limit is left: half is the mean over a span in which all of it is
+        # used. The wait is bounded, as callbacks of one key are sent one by one and never fill a
+        # call.
         rate *= min(
             1.0, max(SMALL_CALL_SHARE, call_fill, 2.0 * limiter.advertised_share_left - 1.0)
         )
--- a/molehill/decisions/slow_start.py
+++ b/molehill/decisions/slow_start.py
@@ -4,8 +4,8 @@
 from molehill.decisions.limiter import SECOND
 from molehill.interface import Settings
 
-# Relays that saw no failure call a returning host too: those that did may send two thirds of the
-# calls.
+# Relays that saw no failure call a returning host too, so those that saw one may send two thirds of
+# the calls.
 CAPACITY_OVER_DEMAND = 1.7
 REFUSAL_BACKOFF = SECOND * 3 // 10  # without a Retry-After; 1 s leaves much of a low limit unused
 # factor with each consecutive bad round; doubling still overloaded returning destinations
@@ -46,7 +46,7 @@
 
     Many relays with few callbacks each would retry an overloaded destination often, or all at the
     end of a Retry-After, and overload it again as it returns. So each waits half to one and a half
-    times its span, which grows with each round.
+    times the span, which grows with each round.
     """
     longest_backoff = call_interval(settings, endpoint, destination, now)
     # an advertised limit explains one refusal
--- a/molehill/decisions/tenant_quotas.py
+++ b/molehill/decisions/tenant_quotas.py
@@ -15,8 +15,8 @@
 
     def add_buckets(self, tenant_count: int) -> None:
         """Adds buckets for new settings with that many tenants; existing tenants keep theirs."""
-        missing = tenant_count - len(self.buckets)
-        self.buckets += [[float("inf"), 0] for _ in range(missing)]
+        missing_count = tenant_count - len(self.buckets)
+        self.buckets += [[float("inf"), 0] for _ in range(missing_count)]
 
     def is_over_quota(self, settings: Settings, tenant: int, now: int) -> bool:
         """Whether another callback exceeds that tenant's quota; takes a token if it does not."""
--- a/molehill/decisions/timers.py
+++ b/molehill/decisions/timers.py
@@ -7,9 +7,9 @@
 
 
 class Timers:
-    """Tasks by due time; of two that are due at the same time, the one scheduled first goes first.
+    """Tasks by due time; tasks due at the same time run in the order in which they were scheduled.
 
-    `serial` numbers the tasks for that, and also what other queues keep in order. Times are in
+    `serial` numbers the tasks for that order, and also the entries of other queues. Times are in
     nanoseconds.
     """
 
@@ -24,7 +24,10 @@
         return self.serial
 
     def schedule(self, when: int, task: Task, argument: Any) -> None:
-        """Schedules `task(argument)` at that time; None: checks the destination of that number."""
+        """Schedules `task(argument)` at that time.
+
+        `task` None: the destination with the number `argument` is checked.
+        """
         heappush(self.heap, (when, self.next_serial(), task, argument))
 
     def pop_due(self, now: int) -> Optional[tuple[Task, Any]]:
