--- a/molehill/__main__.py
+++ b/molehill/__main__.py
@@ -30,7 +30,7 @@
 
     The code is 2 for a configuration that can't be used, 1 for another error of log or listener.
     """
-    # First of all, so that a signal that comes before the loop runs waits for it.
+    # Called first, so that a signal that arrives before the loop runs is kept for it.
     signals = watch_signals()
     try:
         config = configuration.load(os.environ)
@@ -56,7 +56,7 @@
         )
         return 1
     process.begin_serving(signals)
-    gc.freeze()  # what exists now is kept for good: later collections skip it
+    gc.freeze()  # objects that exist now live as long as the process: later collections skip them
     process.run()
     return 0
 
--- a/molehill/config.py
+++ b/molehill/config.py
@@ -96,7 +96,7 @@
 
 
 class NumberText(str):
-    """A number as the file spells it, told apart from text that stands where a number should."""
+    """A number as the file spells it, distinct from a string that the file has for a number."""
 
 
 def reject_constant(text):
@@ -335,7 +335,7 @@
 # Concurrent connections of operators: a few people and a scraper, and as many again that hold a
 # connection and send nothing.
 MAX_ADMIN_CONNECTIONS = 8
-# Kept free beside calls: discovery, notices, and a spare for each.
+# Connections that calls don't use: discovery, notices, and a spare for each.
 RESERVED_OUTGOING = 4
 # Enough for standard streams, log, discovery, notices, a listener and a few connections per side.
 MIN_SOCKETS = 32
@@ -373,8 +373,8 @@
     if not isinstance(values, dict):
         raise ConfigError(f"ROUTER_CONFIG: {path}: not an object")
     if previous is not None:
-        # Defaults for keys that a truncated or mistyped file lacks would be settings that nobody
-        # wrote.
+        # With defaults for keys that a truncated or mistyped file lacks, the relay would have
+        # settings that nobody wrote.
         check_keys_present(values, previous)
         environ = {
             key: text
@@ -540,8 +540,8 @@
 def check_class(row: dict, key_path: str) -> None:
     """Raises ConfigError for a callback class that lacks what its semantics need.
 
-    A default instead would be a promise that nobody made, and the relay could serve by it for a day
-    before anybody notices.
+    A default instead would be a guarantee that nobody configured, and the relay could serve by it
+    for a day before anybody notices.
     """
     needed: tuple[str, ...] = ("name", "semantics", "deadlineMs")
     if row.get("semantics") == "deduplicated":
@@ -621,7 +621,7 @@
         ),
         state=state,
         seed=seed,
-        # Over sockets the host list never comes without a request.
+        # On sockets the host list is sent only on request.
         settings=replace(
             parsed,
             list_on_request=True,
--- a/molehill/http/admin.py
+++ b/molehill/http/admin.py
@@ -1,7 +1,7 @@
 """The admin server: a separate listener for operators, with one request on each connection.
 
-Answers come from memory, so a request costs about as much as its bytes. What its users can take up
-is bounded: file descriptors (reserved, so that clients and operators can't starve each other),
+Answers come from memory, so a request costs about as much as its bytes. The resources of its users
+are bounded: file descriptors (reserved, so that clients and operators can't starve each other),
 bytes of a head, and time.
 """
 
@@ -22,7 +22,7 @@
 
 # for a whole request: twice what an answer may take, so that slow but genuine users are served
 REQUEST_TIMEOUT = 2 * SECOND
-# What follows a request is read and discarded, so that its sender sees the answer.
+# Bytes after a request are read and discarded, so that its sender sees the answer.
 LINGER_TIMEOUT, MAX_LINGER_BYTES = 200 * MS, 16 * 1024
 RETRY_DELAY = 20 * MS  # while no connection can be accepted
 
@@ -65,7 +65,7 @@
         """Accepts connections until the listener is closed."""
         while self.listener is not None:
             # Connections without a complete request could use up all file descriptors that are
-            # reserved here. The one that has had the most time is closed.
+            # reserved for operators. The oldest of them is closed.
             if not self.connection_budget.acquire("admin"):
                 if self.reading_streams:
                     oldest = next(iter(self.reading_streams))
@@ -88,7 +88,7 @@
             )
             self.reading_streams[stream] = True
             self.scheduler.spawn(self.serve_connection, stream)
-            # What has arrived on it is read before another connection can displace it.
+            # Its bytes that have arrived are read before another connection can displace it.
             self.scheduler.yield_now()
 
     def serve_connection(self, stream) -> None:
--- a/molehill/http/clients.py
+++ b/molehill/http/clients.py
@@ -39,16 +39,17 @@
 # Both time and bytes are limited, as a client with an endless body has to see the connection close.
 LINGER_TIMEOUT = 200 * MS
 MAX_LINGER_BYTES = 4 * 64 * 1024
-# Clients wait no longer than this for an answer; a request that is older has nobody waiting for it.
+# Clients wait no longer than this for an answer; no client waits for an older request.
 MAX_READ_DELAY = 400 * MS
-# After this span from the start, what arrived during the start has been read, and so have the
-# requests that followed on those connections.
+# After this span from the start, all requests that arrived during the start have been read, and so
+# have the requests that followed on those connections.
 STARTUP_SPAN = SECOND
 
 
-# The use that a connection has had predicts whether it will be used again. The spans are how long
-# it has to have been idle before it is closed in favour of others, by purpose: to make room for a
-# new connection, or to get below the limit of idle connections. None: not closed for that purpose.
+# The number of requests on a connection so far predicts whether it will be used again. The spans
+# are how long it has to have been idle before it is closed in favour of others, by purpose: to make
+# room for a new connection, or to get below the limit of idle connections. None: not closed for
+# that purpose.
 UNUSED, USED_ONCE, REUSED = "new", "once", "again"
 FOR_NEW_CONNECTION, FOR_IDLE_LIMIT = 0, 1
 MIN_IDLE_TIMES = {  # in the order in which they are closed
@@ -125,7 +126,7 @@
         self.accept_wait_start = self.clock()
         # called for each request that never reaches the core; set when the parts are connected
         self.on_rejected = lambda class_name: None
-        # while paused no request is begun; these tasks wait for the pause to end
+        # while paused no new request is read; these tasks wait for the pause to end
         self.is_paused, self.paused_tasks = False, []
         # how long a request that is read right after the start may have waited
         self.startup_read_delay = MAX_READ_DELAY
@@ -194,7 +195,7 @@
                 self.scheduler.wait(self.listener.fileno(), 0)
                 continue
             self.lacks_descriptors = not self.budget.acquire("client", RESERVED_OUTGOING)
-            # Meanwhile connections are closed with their answers, where no request can be lost.
+            # Meanwhile connections are closed after their answers, where no request can be lost.
             if self.lacks_descriptors:
                 self.scheduler.sleep_until(self.clock() + self.ACCEPT_RETRY_DELAY)
                 continue
@@ -269,7 +270,7 @@
     def close_connection(self, connection, reason: CloseReason) -> None:
         """Closes a connection and counts the first reason given for it.
 
-        Every close by this side goes through here.
+        Every connection that the relay closes is closed by this method.
         """
         check_invariant(
             reason not in IDLE_ONLY_REASONS or not connection.has_open_request,
@@ -285,9 +286,9 @@
     def exceeds_idle_limit(self, connection) -> bool:
         """Whether this connection is to end with its first answer.
 
-        So it is if the limit of idle connections is reached and none of them can be closed. Clients
+        It is if the limit of idle connections is reached and none of them can be closed. Clients
         have a bounded number of connections to a relay: those that stay idle without being used
-        again keep the clients' next requests out, although the relay itself is short of nothing.
+        again block the clients' next requests, although the relay itself is short of nothing.
         """
         if (
             len(self.idle_connections[USED_ONCE]) + len(self.idle_connections[REUSED])
@@ -375,8 +376,8 @@
 
         Until then it counts as busy, so that neither a shutdown nor an upgrade cuts it off. Closing
         a connection with bytes that are unread or in transit would reset it, and a 202 that was
-        just written would be lost. What arrives once sending has ended is discarded and never
-        becomes a callback, as its answer could not be written.
+        just written would be lost. Bytes that arrive once sending has ended are discarded and never
+        become a callback, as its answer could not be written.
         """
         connection.close_reason = reason
         self.counts[f"closed: {reason.value}"] += 1
@@ -447,7 +448,7 @@
         )
 
     def estimated_read_delay(self, connection) -> int:
-        """How long, in nanoseconds, a request that is read now may have waited to be read.
+        """Returns how long, in nanoseconds, a request that is read now may have waited.
 
         The time limit of a callback runs from when the request was sent. Without this, the deadline
         would be too late for a request that arrived while this process was stalled, and for a first
@@ -530,7 +531,7 @@
                 self.close_connection(connection, CloseReason.HAND_OVER_UNANSWERED)
 
     def hand_over(self):
-        """Returns the connections as rows (message, body, socket), and stops using them here."""
+        """Stops using the connections and returns them as rows (message, body, socket)."""
         rows = []
         for connection in [
             connection for connection in self.connections if connection.stream.is_open
--- a/molehill/http/discovery.py
+++ b/molehill/http/discovery.py
@@ -65,7 +65,7 @@
 def parse_host(row, config):
     """Returns the host of an entry, or None if it is invalid: that must not spoil the others."""
     try:
-        # Unknown kinds share the number after the known ones, and count as a plain kind.
+        # Unknown kinds share the number after the known ones, and take one callback a call.
         kind = config.kinds.get(row.get("type"), len(config.kinds))
         host = ev.Host(
             str(row["name"]),
--- a/molehill/http/host_responses.py
+++ b/molehill/http/host_responses.py
@@ -1,6 +1,6 @@
-"""What a host's answer says: the outcome of its call, its Retry-After and its advertised limit.
+"""Reads from a host's answer the outcome of its call, its Retry-After and its advertised limit.
 
-Pure functions of a head and a body.
+All functions are pure: they take a head and a body.
 """
 
 import re
@@ -53,8 +53,8 @@
     if head.headers.get("x-line-busy") == "1":
         return LINE_BUSY
     # A host with as many connections as it accepts answers like this, and only to relays that have
-    # none. If that were read as a used-up limit, relays with idle connections would go on holding
-    # them, and the others would wait for room that is there.
+    # none. If that were read as a used-up limit, relays with idle connections would keep them, and
+    # the other relays would wait although the host has capacity.
     if not head.keep_alive and on_new_connection:
         return NO_CONNECTION_ROOM
     return END_BY_STATUS[503]
--- a/molehill/http/hosts.py
+++ b/molehill/http/hosts.py
@@ -31,7 +31,7 @@
 SWEEP_INTERVAL = 200 * MS
 # before the end of a call is reported that this machine had no resources for
 LOCAL_ERROR_DELAY = 20 * MS
-# for the rest of an answer whose outcome is known: its pieces arrive close together
+# for the rest of an answer whose outcome is known: its segments arrive shortly after one another
 REMAINDER_TIMEOUT = 250 * MS
 # No answer comes sooner: the host has to read the call, do its work and write.
 MIN_ANSWER_TIME = MS
@@ -100,19 +100,19 @@
 
     def is_quiescent(self) -> bool:
         """Whether every call in flight is written whole."""
-        return all(running.is_written for running in self.running_calls.values())
+        return all(running_call.is_written for running_call in self.running_calls.values())
 
     def hand_over(self):
         """Returns written calls and idle connections as rows (message, body, socket).
 
-        They are not used here any more. A call without a row was not written whole, and never ran.
+        This process uses them no more. A call without a row was not written whole, and never ran.
         """
         rows, self.is_handed_over, self.handed_over_calls = [], True, {}
         self.timed_out_calls.close_all()
-        for number, running in self.running_calls.items():
-            stream, call = self.streams.get(number), running.call
+        for number, running_call in self.running_calls.items():
+            stream, call = self.streams.get(number), running_call.call
             if (
-                not running.is_written
+                not running_call.is_written
                 or not stream.is_open
                 or not call.callbacks
                 or number in self.aborted
@@ -129,14 +129,14 @@
                         "host": call.host,
                         "at": "%s:%d" % call.address,
                         "bundle": call.is_bundle,
-                        "start": running.started_at,
+                        "start": running_call.started_at,
                         "members": [[m.id, m.deadline] for m in call.callbacks],
                     },
                     data,
                     sock,
                 )
             )
-            # The call's task here has nothing left to report.
+            # The call's task in this process has nothing left to report.
             self.handed_over_calls[number], call.callbacks = replace(call), []
         return rows + self.idle_connections.hand_over()
 
@@ -183,16 +183,16 @@
             self.idle_connections.put(message["host"], stream, message["since"])
             return True
         self.calls_in_flight += 1
-        running = RunningCall(call, message["start"])
-        running.written_at = self.clock()  # the earlier process wrote it, at the latest now
-        self.running_calls[call.number], self.streams[call.number] = running, stream
+        running_call = RunningCall(call, message["start"])
+        running_call.written_at = self.clock()  # the earlier process wrote it, at the latest now
+        self.running_calls[call.number], self.streams[call.number] = running_call, stream
         self.scheduler.spawn(self._run_call, call, stream)
         return True
 
     # Calls
 
     def start_call(self, call) -> None:
-        """Starts a call in a task of its own; its end is reported by `ev.CallEnded`."""
+        """Starts a call in a separate task; its end is reported by `ev.CallEnded`."""
         self.calls_in_flight += 1
         self.running_calls[call.number] = RunningCall(call, self.clock())
         self.scheduler.spawn(self._run_call, call)
@@ -205,21 +205,23 @@
 
     def _run_call(self, call, stream=None) -> None:
         """Runs a call to its end; `stream`: the connection on which an earlier process wrote it."""
-        running = self.running_calls[call.number]
-        started_at = running.started_at
+        running_call = self.running_calls[call.number]
+        started_at = running_call.started_at
         try:
             stream = stream or self._write_call(call, started_at)
             if stream is not None:
-                running.is_written = True
+                running_call.is_written = True
                 self._read_answer(call, stream, started_at)
         finally:
             self.calls_in_flight -= 1
             self.streams.pop(call.number, None)
-            stays_open = stream is not None and (stream.idle_since or running.awaits_host_close)
+            stays_open = stream is not None and (
+                stream.idle_since or running_call.awaits_host_close
+            )
             if stream is not None and not stays_open:
                 stream.close()
-            # Callbacks are left only after a fault of this code: with nothing known, each may have
-            # run.
+            # Callbacks are left without an outcome only after a fault of this code: as nothing is
+            # known of them, each may have run.
             if call.callbacks:
                 self._report_same_end(
                     call, started_at, call.callbacks, ev.AttemptOutcome("", Result.RESET)
@@ -253,11 +255,17 @@
         call.callbacks = [m for m in call.callbacks if m.id not in ended]
         if ends and call.number not in self.aborted:
             latency = (answered_at or self.clock()) - started_at
-            running = self.running_calls[call.number]
-            rate, left = advertised
+            running_call = self.running_calls[call.number]
+            rate, share_left = advertised
             self.post(
                 ev.CallEnded(
-                    call.number, latency, ends, rate, left, running.written_at, running.unread_until
+                    call.number,
+                    latency,
+                    ends,
+                    rate,
+                    share_left,
+                    running_call.written_at,
+                    running_call.unread_until,
                 )
             )
 
@@ -267,7 +275,7 @@
         In the latter case its end has been reported. If an idle connection breaks before the last
         byte, the call is written once more on a new one.
         """
-        until, running = call_deadline(call), self.running_calls[call.number]
+        until, running_call = call_deadline(call), self.running_calls[call.number]
         if not self._may_write(call, started_at):
             return None
         for stream in (self.idle_connections.take(call.host), None):
@@ -290,7 +298,7 @@
                     0,
                     b"",
                 )
-                running.on_new_connection = on_new_connection
+                running_call.on_new_connection = on_new_connection
                 if not self._may_write(call, started_at):
                     stream.close()
                     return None
@@ -302,13 +310,13 @@
                     return None
                 write_started_at = self.clock()
                 stream.send(self._build_request(call), until)
-                running.written_at = self.clock()
+                running_call.written_at = self.clock()
                 self.figures.relayed += len(call.callbacks)
                 if self.trace.is_on:
                     self._trace_written(call, on_new_connection, until)
-                # Unread bytes are a surplus of the last answer if no answer to this call can have
-                # come yet. After a stall since the write one can have come, hence the look at the
-                # clock.
+                # Unread bytes are excess bytes of the previous answer if no answer to this call can
+                # have arrived yet. After a stall since the write one can have, so the clock is
+                # checked.
                 if (
                     not on_new_connection
                     and stream.has_unread()
@@ -353,7 +361,7 @@
             )
 
     def _trace_written(self, call, on_new_connection: bool, until: int) -> None:
-        left = until - self.clock()
+        time_left = until - self.clock()
         for member in call.callbacks:
             self.trace.record(
                 Step.CALL_WRITTEN,
@@ -361,7 +369,7 @@
                 call=call.number,
                 host=call.host,
                 fresh=on_new_connection,
-                left=left,
+                left=time_left,
             )
 
     def _may_write(self, call, started_at) -> bool:
@@ -489,25 +497,25 @@
         The host may read the call later; how much later is bounded by the same timeout as for a
         connection that does not come up.
         """
-        running = self.running_calls[call.number]
-        until = running.written_at + self.config.connect_time_out
+        running_call = self.running_calls[call.number]
+        until = running_call.written_at + self.config.connect_time_out
         if call.number in self.aborted or until <= self.clock():
             stream.close()
             return
-        running.unread_until, running.awaits_host_close = until, True
+        running_call.unread_until, running_call.awaits_host_close = until, True
         self.timed_out_calls.await_host_close(
             call.number, [member.id for member in call.callbacks], stream, until
         )
 
 
 def not_sent_end(refusal: Refusal) -> ev.AttemptOutcome:
-    """The end of a callback that never left this relay."""
+    """Returns the outcome of a callback that never left this relay."""
     return ev.AttemptOutcome("", Result.NOT_SENT, unsent=True, reason=refusal)
 
 
 def call_deadline(call) -> int:
-    """The time at which a call is given up: the earliest deadline of its callbacks.
+    """Returns the time at which a call is given up: the earliest deadline of its callbacks.
 
-    It is one call, for the host too, and so has one deadline.
+    A call with several callbacks has one deadline, for the host too.
     """
     return min(member.deadline for member in call.callbacks)
--- a/molehill/http/idle_connections.py
+++ b/molehill/http/idle_connections.py
@@ -17,7 +17,7 @@
         self.clock, self.max_idle_time = clock, max_idle_time
 
     def put(self, host: str, stream: HttpStream, since: int) -> None:
-        """Adds a connection that has been idle since then."""
+        """Adds a connection that has been idle since the time `since`."""
         stream.idle_since = since
         self.setdefault(host, []).append(stream)
 
--- a/molehill/http/notices.py
+++ b/molehill/http/notices.py
@@ -93,7 +93,7 @@
 
     @property
     def pending_count(self) -> int:
-        """The number of notices that are not answered yet."""
+        """Returns the number of notices that are not answered yet."""
         return len(self.unanswered) + len(self.scheduled)
 
     def hand_over(self) -> None:
@@ -109,7 +109,7 @@
         self.connection.close()
 
     def take_back(self) -> None:
-        """Sends the handed-over notices here after all, since the next process is gone."""
+        """Sends the handed-over notices after all, since the next process is gone."""
         handed_over, self.handed_over = self.handed_over, {}
         for notice in handed_over.values():
             self.send_notice(notice)
--- a/molehill/http/parser.py
+++ b/molehill/http/parser.py
@@ -48,7 +48,7 @@
 
     @property
     def status(self) -> int:
-        """The status code of a response."""
+        """Returns the status code of a response."""
         return int(self.start_line[1])
 
 
--- a/molehill/http/timed_out_calls.py
+++ b/molehill/http/timed_out_calls.py
@@ -1,6 +1,6 @@
 """Calls that timed out with no byte of an answer, kept until the host closes their connections.
 
-This side has ended its sending. The host's operating system may still hold such a call unread. If
+The relay has shut down its sending side. The host's operating system may still hold it unread. If
 the host closes the connection too, or answers after all, it has read all that was sent; the answer
 itself doesn't count. Each connection is kept for a bounded time, and no more of them than there may
 be calls at once.
@@ -47,7 +47,7 @@
         except TimedOut:
             host_ended = False
         except ConnectionBroken:
-            host_ended = stream.is_open  # otherwise it was closed here to make room
+            host_ended = stream.is_open  # otherwise this relay closed it to make room
         finally:
             stream.close()
             self.streams.pop(number, None)
--- a/molehill/membership/member.py
+++ b/molehill/membership/member.py
@@ -6,8 +6,8 @@
 
 The protocol is SWIM with Lifeguard's refinements: round-robin probe targets in random order,
 indirect probes, suspicion before a member is declared lost, refutation by a higher incarnation,
-gossip with a bounded number of retransmissions, and a longer probe interval while this relay finds
-that it is slow itself. Three additions handle one-way partitions and pauses:
+gossip with a bounded number of retransmissions, and a longer probe interval while this relay
+detects that it is itself slow. Three additions handle one-way partitions and pauses:
 
 - The target of an indirect probe acknowledges it to the helper *and* to the original requester.
 - A relay that receives no answers reports itself as `alone`, on elapsed time only.
@@ -282,7 +282,7 @@
         self.update_standing(now)
 
     def recover_from_stall(self, now: int, stall_duration: int) -> None:
-        """Discard what was concluded from a silence that this relay's own stall has caused.
+        """Discard conclusions from a silence that this relay's own stall has caused.
 
         Answers may have arrived that were not read, so pending probes are dropped, to be sent
         again, and each suspicion timeout is extended by the stall.
@@ -908,7 +908,7 @@
     ) -> None:
         """Queue a message for `address`.
 
-        The rumour about `subject` goes first if it is suspected or lost, so that it can refute at
+        The rumour about `subject` comes first if it is suspected or lost, so that it can refute at
         once. `rumours` replaces the rumours that would be selected.
         """
         if rumours is None:
--- a/molehill/relay.py
+++ b/molehill/relay.py
@@ -270,12 +270,12 @@
         return self.clients.can_serve() and not self.handed_over
 
     def pause_intake(self) -> None:
-        """Lets calls and requests that have begun finish, and begins no others."""
+        """Starts no more calls and requests; those that have begun are finished."""
         self.engine.post_event(ev.PauseCalls(True))
         self.clients.pause_requests()
 
     def is_drained(self) -> bool:
-        """Returns whether no request, call or notice is halfway through."""
+        """Returns whether no request, call or notice is incomplete."""
         return (
             self.clients.is_quiescent()
             and self.hosts.is_quiescent()
@@ -284,7 +284,7 @@
 
     def prepare_handover(self, started_at: int):
         """Suspends this process and returns the rows to hand over (see upgrade.handover_rows)."""
-        self.engine.post_event(ev.Step())  # what was read is decided on and logged
+        self.engine.post_event(ev.Step())  # so that requests already read are decided and logged
         self.engine.suspend()
         if self.membership is not None:
             # The next process is the same member and needs the address.
@@ -292,10 +292,10 @@
         return upgrade.handover_rows(self, started_at)
 
     def abort_handover(self, rows, started_at: int) -> None:
-        """Takes back what was to be handed over, and resumes: the next process is gone.
+        """Takes back the rows of the handover, and resumes: the next process is gone.
 
-        The connections are kept: closing one with an answer unread on it would make a callback that
-        was delivered run once more.
+        The connections are kept: if one with an unread answer were closed, a callback that was
+        delivered would run once more.
         """
         self.scheduler.yield_now()  # lets the tasks of the detached connections end
         self.hosts.take_back([row for row in rows if row[0]["k"] in ("call", "idle")])
@@ -309,7 +309,7 @@
         )
 
     def finish_handover(self) -> None:
-        """Releases what is left here; the next process has everything, and this one only ends."""
+        """Releases this process's remaining resources; the next process has everything."""
         self.handed_over, self.clients.is_ready = True, False
         self.store.close()
         self.scheduler.machine.close(self.lock)
--- a/molehill/runtime/buffer.py
+++ b/molehill/runtime/buffer.py
@@ -43,8 +43,8 @@
 
     def take(self, count: int) -> bytes:
         """Removes and returns up to `count` unread bytes."""
-        taken = self.peek(count)
-        self.start += len(taken)
+        data = self.peek(count)
+        self.start += len(data)
         if self.start == self.end:
             self.start = self.end = 0
-        return taken
+        return data
--- a/molehill/runtime/engine.py
+++ b/molehill/runtime/engine.py
@@ -1,6 +1,6 @@
 """Drives the core: feeds it events, executes its effects in order, and steps the decision module.
 
-Steps of the decision module are batched: one takes all that came in since the one before.
+Steps of the decision module are batched: each handles all events since the previous one.
 """
 
 from collections import Counter
@@ -54,7 +54,7 @@
         self.is_busy = True
 
     def resume(self) -> None:
-        """Handles the events that were queued since `suspend`, and goes on."""
+        """Handles the events that were queued since `suspend`, and later ones at once."""
         self.is_busy = False
         self.post_event(ev.Step())
 
@@ -79,7 +79,7 @@
                 self.log.warning("log not rewritten", size=self.store.size)
             self.next_rewrite_at = self.clock() + self.REWRITE_RETRY_DELAY
             return False
-        # The rewritten log contains all that was unwritten.
+        # The rewritten log contains the state of all unwritten rows.
         self.next_rewrite_at, self.unwritten_rows = 0, []
         self.release_all_notices()
         return True
@@ -186,7 +186,7 @@
             launches=effect.attempts,
         )
 
-    # Kinds of record that the core can undo: what they announce has not happened yet.
+    # Kinds of record that the core can undo: they are written before the step that they record.
     REVERSIBLE_KINDS = ("taken", "launch")
 
     def write_rows(self, rows) -> None:
@@ -212,7 +212,7 @@
     def try_write(self, rows) -> bool:
         """Appends these rows or rewrites the log; returns whether the log now contains them.
 
-        `rows` include all that was unwritten.
+        `rows` include all unwritten rows.
         """
         if not self.store.append(rows) and not self.rewrite_log():
             return False
--- a/molehill/runtime/kernel.py
+++ b/molehill/runtime/kernel.py
@@ -1,7 +1,7 @@
 """The machine interface of a relay, implemented by the kernel: clocks, pollers, sockets and disk.
 
-The emulator passes its own implementation with the same methods; the layers above this module
-make no system calls of their own.
+The emulator passes another implementation with the same methods; the layers above this module make
+no system calls themselves.
 """
 
 import errno
@@ -143,8 +143,8 @@
         return self._unix_socket(folder, lambda sock, address: sock.connect(address))
 
     def _unix_socket(self, folder, bind_or_connect) -> socket.socket:
-        # The address goes through the folder's descriptor, because the folder's own path may be
-        # longer than a Unix socket address can hold.
+        # The address names the folder by its descriptor, because the folder's path may be longer
+        # than a Unix socket address can hold.
         fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
--- a/molehill/runtime/message_channel.py
+++ b/molehill/runtime/message_channel.py
@@ -1,6 +1,6 @@
 """Messages with file descriptors between two processes of one relay.
 
-They go over a Unix socket of type SOCK_SEQPACKET, which keeps message boundaries.
+The messages are sent over a Unix socket of type SOCK_SEQPACKET, which keeps message boundaries.
 """
 
 import json
--- a/molehill/runtime/scheduler.py
+++ b/molehill/runtime/scheduler.py
@@ -67,11 +67,11 @@
         """Starts a task that the relay depends on: it is restarted on failure until it returns."""
 
         def supervise():
-            finished = False
-            while not finished:
+            has_returned = False
+            while not has_returned:
                 try:
                     work()
-                    finished = True
+                    has_returned = True
                 except Exception as error:
                     check_invariant(False, "kept_task", work=work.__qualname__, error=repr(error))
                     self.sleep_until(self.clock() + self.RESTART_DELAY)
--- a/molehill/runtime/stream.py
+++ b/molehill/runtime/stream.py
@@ -119,7 +119,7 @@
                 self.sock.close()
 
     def detach(self):
-        """Gives the socket up for another process; returns it and the bytes not consumed yet.
+        """Detaches the socket for another process; returns it and the bytes not consumed yet.
 
         For users of the stream in this process the connection breaks.
         """
@@ -136,8 +136,9 @@
     def restore_unread(self, data: bytes) -> None:
         """Fills the buffer with what another process had read and not consumed.
 
-        A head that the other process had already taken from its buffer and all behind it may be
-        more than a buffer holds. Such a connection is closed, so that the takeover goes on.
+        A head that the other process had already taken from its buffer, together with all bytes
+        after it, may be more than a buffer holds. Such a connection is closed, so that the takeover
+        continues.
         """
         while data:
             with self.buffer.free_space() as space:
@@ -244,15 +245,15 @@
     answer.
     """
     stream.sock.shutdown(socket.SHUT_WR)
-    deadline, drained = stream.scheduler.clock() + timeout, 0
-    while drained < max_bytes and stream.scheduler.clock() < deadline:
-        drained += len(stream.buffer.take(len(stream.buffer)))
+    deadline, drained_bytes = stream.scheduler.clock() + timeout, 0
+    while drained_bytes < max_bytes and stream.scheduler.clock() < deadline:
+        drained_bytes += len(stream.buffer.take(len(stream.buffer)))
         stream.read(deadline)
         stream.scheduler.yield_now()
 
 
 BACKLOG = 1024
-# Errors of socket(2), bind(2) and listen(2) that go away without intervention.
+# Errors of socket(2), bind(2) and listen(2) whose cause ends without intervention.
 TRANSIENT_ERRNOS = (
     errno.EMFILE,
     errno.ENFILE,
--- a/molehill/runtime/trace.py
+++ b/molehill/runtime/trace.py
@@ -5,7 +5,7 @@
 A line has `at` (nanoseconds of the relay's clock), `step` (`Step`), `id` and further fields of that
 step. Once the file holds half of the permitted bytes it replaces the previous one (`FILE.1`), so
 both together stay within the limit. Each line is written when the step happens and outlasts a kill.
-A line that can't be written is lost, and the relay goes on.
+A line that can't be written is lost, and the relay continues.
 """
 
 import json
--- a/molehill/shutdown.py
+++ b/molehill/shutdown.py
@@ -61,7 +61,7 @@
             self.scheduler.spawn_supervised(self.run)
 
     def run(self) -> None:
-        """Goes through the states, each at its time; after a fault it resumes where it was."""
+        """Enters each state at its time; after a fault it resumes with the current state."""
         if self.process.handed_over:  # another process has everything
             self.change_state(ENDED)
         while self.state is not ENDED:
@@ -75,7 +75,7 @@
                 self.change_state(state)
 
     def is_work_pending(self) -> bool:
-        """Returns whether somebody may still get what they wait for in this state."""
+        """Returns whether a party may still get the answer that it waits for in this state."""
         process = self.process
         if self.state is FINISHING_REQUESTS:
             return bool(
--- a/molehill/startup.py
+++ b/molehill/startup.py
@@ -91,7 +91,7 @@
         return self.finish_wait()
 
     def finish_wait(self) -> bool:
-        """Takes over what the Successor got; returns as `wait_until_ready` does."""
+        """Takes over handover and signals of the Successor; returns as `wait_until_ready` does."""
         self.handover, self.pending_signals = (
             self.successor.handover,
             self.successor.pending_signals,
--- a/molehill/storage/records.py
+++ b/molehill/storage/records.py
@@ -3,8 +3,9 @@
 A record is a magic number, the payload's length, a sequence number, a CRC-32C of length and
 sequence number, one that continues over the payload, and then the payload. The checksums begin with
 the segment's salt, which no client knows: so a payload that contains the bytes of a record is never
-read as one, not even if the header before it is corrupt. The header has a checksum of its own, so
-that bytes made to look like many headers of long records cost a scan no more than their number.
+read as one, not even if the header before it is corrupt. The header has a separate checksum, so
+that a scan of bytes made to look like many headers of long records takes no more time than their
+number requires.
 The module is pure and touches no files.
 """
 
--- a/molehill/storage/space.py
+++ b/molehill/storage/space.py
@@ -1,17 +1,17 @@
 """Accounts for the space of a segmented log: what to move, what to remove, what still fits. Pure.
 
-Segments are in the order of their numbers. A callback's whole state is in one of them; what is
-written about it later is in the same segment or a later one. So the oldest segment can be removed
-at once if it holds no live state. Space is freed by moving states out of the oldest segment, some
+Segments are in the order of their numbers. A callback's whole state is in one of them; later
+records about it are in the same segment or a later one. So the oldest segment can be removed at
+once if it holds no live state. Space is freed by moving states out of the oldest segment, some
 after each append.
 """
 
 from collections import OrderedDict
 
 BLOCK_SIZE = 512  # bytes; files are counted in whole blocks
-# Share of the space for states and what may yet be written about them. At three quarters, a full
-# round over the log writes three bytes for each byte that it frees; with a greater share, it writes
-# twice that and more for the last eighth.
+# Share of the space for states and the records that may follow about them. At three quarters, a
+# full round over the log writes three bytes for each byte that it frees; with a greater share, it
+# writes twice that and more for the last eighth.
 STATE_SHARE = 3 / 4
 
 
@@ -50,7 +50,7 @@
         # bytes due to be moved that did not yet make up a whole state
         self.bytes_to_move = 0.0
 
-    # Accounting of what was written
+    # Accounting of written bytes and states
 
     def add_segment(self, number: int, size: int) -> None:
         """Adds a segment with a header of `size` bytes; it is the open one from now on."""
@@ -64,7 +64,7 @@
     def fits(self, length: int) -> bool:
         """Whether `length` more bytes fit into the open segment.
 
-        What is longer than a segment gets one of its own.
+        A record longer than a segment gets a separate segment.
         """
         return bool(self.segments) and self.open_segment().size + length <= self.segment_size
 
@@ -77,9 +77,9 @@
         self.used_bytes += round_to_blocks(segment.size + length) - round_to_blocks(segment.size)
         segment.size += length
         if callback_id in self.reserved:
-            left = max(0, self.reserved[callback_id] - length)
-            self.reserved_bytes += left - self.reserved[callback_id]
-            self.reserved[callback_id] = left
+            bytes_left = max(0, self.reserved[callback_id] - length)
+            self.reserved_bytes += bytes_left - self.reserved[callback_id]
+            self.reserved[callback_id] = bytes_left
 
     def add_state(self, callback_id: str, length: int, may_write: int) -> None:
         """Records that the open segment now has the whole state of a callback.
--- a/molehill/store.py
+++ b/molehill/store.py
@@ -6,10 +6,10 @@
 records of one append are atomic: if a kill or a failed write cut an append off, none of its records
 is read.
 
-Nothing is appended while the end of the log is not known to be whole: what a failed write left
-there is truncated, or overwritten by a filler record, before anything else is written. Once the log
-has grown past a limit, it is rewritten with only the pending state, and the new file replaces the
-old one by a rename. The records are read again at the next start.
+Nothing is appended while the end of the log is not known to be whole: the remains of a failed write
+are truncated, or overwritten by a filler record, before anything else is written. Once the log has
+grown past a limit, it is rewritten with only the pending state, and the new file replaces the old
+one by a rename. The records are read again at the next start.
 """
 
 import base64
@@ -29,7 +29,7 @@
 
 
 class Chunk(NamedTuple):
-    """A range of the log's bytes: a whole record, or what lies between two."""
+    """A range of the log's bytes: a whole record, or the bytes between two."""
 
     start: int
     end: int
@@ -181,7 +181,7 @@
 
     def _committed_end(self) -> int:
         """Returns where the last append that was not cut off ends."""
-        # append_start: where an append begins whose last record has not been found yet
+        # append_start: start of an append whose last record has not been found yet
         end, append_start = 0, None
         for chunk in scan(self.data):
             if chunk.payload is None:
@@ -195,7 +195,7 @@
         return end if append_start is None else min(end, append_start)
 
     def record_lines(self) -> Iterator[bytes]:
-        """Yields the line of JSON of each record that was read, for a look before the replay."""
+        """Yields the line of JSON of each record that was read; to be used before `replay`."""
         for chunk in scan(self.data):
             if chunk.payload is not None:
                 yield chunk.payload.partition(b"\n")[0]
@@ -333,7 +333,7 @@
     def close(self) -> None:
         """Closes the log; nothing is written any more.
 
-        The number of its file descriptor may belong to another file from here on.
+        From then on the number of its file descriptor may belong to another file.
         """
         if self.fd >= 0:
             self._close_file(self.fd)
--- a/molehill/upgrade.py
+++ b/molehill/upgrade.py
@@ -26,8 +26,8 @@
 from molehill.runtime.stream import ConnectionBroken, TimedOut
 
 PROTOCOL_VERSION = 2  # rows of version 1 had wall-clock times
-# For requests that are being answered and calls that are being written: a quarter of the time that
-# a client waits.
+# To finish requests that are being answered and calls that are being written: a quarter of the time
+# that a client waits.
 DRAIN_TIMEOUT = 100 * MS
 # For a message of the other process: many times what one takes, and well within the 6 s for a yes.
 MESSAGE_TIMEOUT = SECOND
@@ -288,10 +288,10 @@
 
 
 def handover_rows(process, started_at: int):
-    """Detaches all that is handed over; returns it as rows (message, body, socket or None).
+    """Detaches connections, calls and state for the next process; returns them as rows.
 
-    This process uses none of it any more unless the handover breaks off. `started_at`: when the
-    handover began, nanoseconds on the monotonic clock.
+    A row is (message, body, socket or None). This process uses none of them any more unless the
+    handover breaks off. `started_at`: when the handover began, nanoseconds on the monotonic clock.
     """
     core, rows = process.core, []
     state, learned = core.handover_state()
