--- a/molehill/fleet/checker.py
+++ b/molehill/fleet/checker.py
@@ -1,7 +1,8 @@
-"""From a history to findings: a table of properties, each a pure function. Knows nothing of the relays' code.
+"""Checks the history of a run: a table of properties, each a pure function that returns findings.
 
-A finding is kept, broken, unknown (it can't be told from what was seen) or void (the rig did not do what the run was about). The run's
-word is the worst in the order of WORDS; nothing is ever taken for kept because it was not looked at.
+It uses nothing of the relays' code. A finding is kept, broken, unknown (the history does not allow
+a decision) or void (the rig did not do what the run was to show). The word of the run is the first
+in VERDICT_ORDER that a finding has; nothing counts as kept because it was not checked.
 """
 
 import re
@@ -15,23 +16,26 @@
 from molehill.fleet import members
 
 KEPT, UNKNOWN, BROKEN, VOID = "kept", "unknown", "broken", "void"
-VERDICT_ORDER = (VOID, BROKEN, UNKNOWN, KEPT)  # the first of them that any finding has is the run's
-# the rig late by more: void. A relay on the same cores was as late, and rule 1 leaves it 350 ms
+VERDICT_ORDER = (VOID, BROKEN, UNKNOWN, KEPT)  # the first that a finding has is the word of the run
+# A rig that was later voids the run: a relay on the same cores was as late, and rule 1 allows it
+# 350 ms.
 MAX_RIG_LATENESS = 250 * MS
-# The conductor sees nothing that is judged, and stamps what it does as it does it: it may be late behind the script by so much.
+# The conductor may be later, behind its script: it observes nothing that is judged, and stamps what
+# it does at the time at which it does it.
 CONDUCTOR, MAX_CONDUCTOR_LATENESS = "conductor", SECOND
-# a relay that says it stood longer without having been made to: the machine's, so void
+# A longer stall that a relay reports, and no fault caused, is put down to the machine: void.
 MAX_STALL = 250 * MS
-# a relay that stood so many times as long as any of so many others did so by itself
+# A relay stalled by itself if its stall is STALL_RATIO times that of any other, among at least
+# STALL_PEERS relays.
 STALL_PEERS, STALL_RATIO = 5, 5
-IN_FLIGHT_TIME = 5 * MS  # what is under way as a cut begins
-EFFECT_LEAD_TIME = SECOND  # what a kill or a pause meets counts from so long before it
+IN_FLIGHT_TIME = 5 * MS  # for what is in flight when a cut begins
+EFFECT_LEAD_TIME = SECOND  # what happened so long before a kill or a pause counts as touched by it
 
 Finding = namedtuple("Finding", "property word text facts")
 
 
 def six_rules(history, scenario) -> list[Finding]:
-    """The emulator's referee, fed from the history, its bounds wider by what the rig was late."""
+    """Feeds the emulator's referee from the history; the rig's lateness widens its bounds."""
     world = World(scenario.seed)
     referee = Referee(world, scenario, history.doubt)
     for now, who, what, facts in history.rows:
@@ -74,6 +78,7 @@
 
 
 def no_crash(history, scenario) -> list[Finding]:
+    """No relay ended that the rig had not ended."""
     rows = [(who, facts) for _, who, what, facts in history.rows if what == "crashed"]
     return [
         Finding("no crash", BROKEN, "a relay ended that nobody had ended", {"relay": who, **facts})
@@ -82,9 +87,12 @@
 
 
 def invariants(history, scenario) -> list[Finding]:
-    """Relays count broken invariants in release builds and say each in their logs."""
+    """No relay logged a traceback or a broken invariant.
+
+    Release builds, which have no asserts, count broken invariants and log them.
+    """
     if history.folder is None:
-        return []  # emulated: asserted as they happen
+        return []  # emulated: invariants are asserted as they are checked
     for path in sorted(history.folder.glob("relay*.log")):
         for line in path.read_text(encoding="utf-8", errors="replace").splitlines():
             if "broken invariant" in line or line.startswith("Traceback"):
@@ -100,7 +108,7 @@
 
 
 def faults_hit(history, scenario) -> list[Finding]:
-    """Each fault has touched something, or the run shows nothing about it."""
+    """Each fault has touched something; otherwise the run shows nothing about it."""
     counts = count_touched(history, scenario)
     idle = [
         f"{f.kind} on {f.who} at {f.at_ms} ms"
@@ -121,7 +129,10 @@
 
 
 def causes_first(history, scenario) -> list[Finding]:
-    """A call comes after its callback was asked for, an answer after its call: else the stamps of two processes can't be set beside each other."""
+    """A call comes after its callback was asked for, and an answer after its call.
+
+    Otherwise the timestamps of two processes can't be compared.
+    """
     asked, called = {}, {}
     for now, who, what, facts in history.rows:
         if what == "asked":
@@ -151,7 +162,7 @@
 
 
 def cuts_hold(history, scenario) -> list[Finding]:
-    """Counted where it would arrive, not at the cable: nothing that a relay says comes through a cut."""
+    """Nothing that a relay sends passes a cut; checked at the receiver, not at the proxy."""
     slack = history.doubt + IN_FLIGHT_TIME
     cuts = {}
     for fault in scenario.faults:
@@ -181,7 +192,7 @@
 
 
 def rig_in_time(history, scenario) -> list[Finding]:
-    """Whether the machine let the rig and the relays run as they were meant to."""
+    """The machine ran the rig and the relays without long delays."""
     if history.folder is None:
         return []
     facts = {process: round(late / MS, 1) for process, late in history.lateness.items()}
@@ -225,7 +236,10 @@
 
 
 def stalled_alone(stood: dict, late: dict) -> bool:
-    """Whether one relay stood, and not the machine: no stand-in and no other relay was late by anything like it. `stood` in ms."""
+    """Whether a relay stalled by itself: no stand-in and no other relay was late by nearly as much.
+
+    `stood`: relay -> ms; `late`: process of the rig -> ns.
+    """
     spans = sorted(stood.values())
     if len(spans) < STALL_PEERS or spans[-1] <= MAX_STALL / MS:
         return False
@@ -236,7 +250,7 @@
 
 
 def longest_stalls(history, scenario) -> dict:
-    """Relay -> ms that it stood at most by its own word, for those that nothing of the script made stand."""
+    """Longest stall in ms that each relay logged, for those that no fault of the script stalled."""
     made_to = {f.who for f in scenario.faults if f.kind in ("freeze", "starve", "upgrade")}
     found = {}
     for path in sorted(history.folder.glob("relay*.log")):
@@ -252,9 +266,12 @@
 
 
 def figures_consistent(history, scenario) -> list[Finding]:
-    """What relays count themselves beside what their clients and hosts saw: callbacks ended at relays that never ended or were cut off."""
+    """Compares the relays' own counts with what their hosts saw.
+
+    Relays that a fault ended or cut off are left out.
+    """
     if history.folder is None:
-        return []  # the emulator's recount does it
+        return []  # the emulator compares them itself
     said = {
         who: facts["rows"]
         for _, who, what, facts in [*history.rows, *history.rest]
@@ -302,7 +319,10 @@
 
 
 def membership(history, scenario) -> list[Finding]:
-    """molehill/fleet/members.py; unknown where relays' logs have clocks of their own, or none said a word."""
+    """Checks membership (molehill/fleet/members.py).
+
+    Unknown where a fault changes the clocks that relays log with; broken if none logged anything.
+    """
     if scenario.fleet is None or history.folder is None:
         return []
     if any(f.kind in ("clock", "drift") for f in scenario.faults):
@@ -322,7 +342,7 @@
     ] or [Finding("membership", KEPT, "", {})]
 
 
-# What was there for a fault to touch: kind -> (how long before it counts too, what of the history it touches)
+# What a fault touches: kind -> (how long before the fault it counts as well, predicate on events)
 def touches_relay(fault, who, what, facts) -> bool:
     return what in ("asked", "call", "notice") and facts.get("relay") == fault.who
 
@@ -362,7 +382,7 @@
 
 
 def count_touched(history, scenario) -> list[int]:
-    """For each fault of the scenario, how much of what happened it touched."""
+    """Number of events that each fault of the scenario touched, in the order of the scenario."""
     times = [row[0] for row in history.rows]
     did, hits = Counter(), Counter()
     for _, _, what, facts in history.rows:
@@ -377,7 +397,7 @@
             found.append(did[place])
             continue
         if history.folder is not None and FAULTS[fault.kind] == "relay" and not hits[place]:
-            found.append(0)  # the signal met nobody
+            found.append(0)  # there was no process to signal
             continue
         before, touches = EFFECTS_BY_KIND.get(fault.kind, EFFECTS_BY_TARGET[FAULTS[fault.kind]])
         begun = START + fault.at_ms * MS
@@ -403,7 +423,7 @@
 
 
 def check(history, scenario, properties=None) -> dict:
-    """The verdict, as plain data: `word`, and findings by property."""
+    """The verdict as plain data: `word`, `ok` and the findings of all properties."""
     findings = [
         finding
         for look in (properties or PROPERTIES).values()
--- a/molehill/fleet/conductor.py
+++ b/molehill/fleet/conductor.py
@@ -1,7 +1,10 @@
-"""One run on processes: starts all, carries out what falls on relays, and ends all, whatever happens.
+"""Runs one scenario on real processes: starts and ends them, and injects the faults on relays.
 
-Children end with the tool: stand-ins at the end of their standard input, relays by the kernel's word (PR_SET_PDEATHSIG). Each is ended
-by its process id. A relay is ready when `/ready` says so, never after some time.
+All children are ended, whatever happens.
+
+Children end with the tool: stand-ins when their standard input closes, relays by the signal that
+the kernel sends on the parent's death (PR_SET_PDEATHSIG). Each child is ended by its process id.
+A relay counts as ready when `/ready` answers 200, never after a fixed delay.
 """
 
 import contextlib
@@ -32,33 +35,33 @@
 from molehill.fleet.sockets import PROXY_PORT_OFFSET, Network
 from molehill.fleet.world import IN, World
 
-# how often children are looked at, and a door asked that has not said yes
+# interval at which children are polled, and `/ready` is requested until it answers 200
 POLL_INTERVAL = 10 * MS
-START_TIMEOUT = 30 * SECOND  # for all to be up; beyond it the run is void
-READ_TIMEOUT = 2 * SECOND  # for figures at the end
+START_TIMEOUT = 30 * SECOND  # until all processes are ready; a run that takes longer is void
+READ_TIMEOUT = 2 * SECOND  # for reading the metrics at the end
 CHECKOUT = Path(__file__).resolve().parents[2]
 STARTING, SERVING, ENDING, GONE = "starting", "serving", "ending", "gone"
 BUSY_LOOP = "import os\nwhile os.getppid() == %d: pass"
 
 
 class RigError(Exception):
-    """The rig could not play the run; the text says why."""
+    """The rig could not play the run; the message gives the reason."""
 
 
 def kill_with_parent(parent: int):
-    """For the child before its program begins."""
+    """Returns a function to run in the child before exec: it is killed when `parent` ends."""
     libc = ctypes.CDLL(None)
 
     def set_death_signal() -> None:
         libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
-        if os.getppid() != parent:  # gone before the kernel was told
+        if os.getppid() != parent:  # the parent ended before prctl was called
             os._exit(1)
 
     return set_death_signal
 
 
 class RelayProcess:
-    """One process of a relay."""
+    """One process of a relay; `wanted`: the rig has asked for its end, so that it is no crash."""
 
     def __init__(self, number: int, child, admin_address):
         (
@@ -79,7 +82,10 @@
 
 
 class Relay:
-    """`processes`: its processes that are there; two at once are an upgrade. `owner`: the one that serves."""
+    """One relay of the run, over all its processes.
+
+    `processes`: those that are running; two at once mean an upgrade. `owner`: the one that serves.
+    """
 
     def __init__(self, run, n: int):
         self.run, self.world, self.n, self.name = run, run.world, n, f"relay{n}"
@@ -92,16 +98,18 @@
             {},
             False,
         )
-        self.handovers_logged = 0  # that its processes have said, as of the last look
+        self.handovers_logged = 0  # handovers found in its log so far
         self.shim, self.shim_faults = run.folder / f"{self.name}.shim", {}
         if any(fault.kind in SHIMMED and fault.who == self.name for fault in run.scenario.faults):
             self.hook = {"shim": str(self.shim)}
 
     @property
     def up(self) -> bool:
+        """Whether its owner has answered `/ready`."""
         return self.owner is not None and self.owner.state == SERVING
 
     def write_file(self, admin_address=None) -> None:
+        """Writes its configuration file, replacing the old one by a rename."""
         run, address_plan = self.run, self.run.address_plan
         address = run.network.address_seen_by(self.name, run.platform_at, "platform")
         given = relay_settings(
@@ -121,7 +129,10 @@
         whole.rename(self.file)
 
     def fleet(self) -> dict:
-        """Told only the cables at which it finds the others; a seed may be any of them, so it has an address for each."""
+        """The `fleet` part of its configuration: the proxies' addresses of the other relays.
+
+        Any relay may be a seed, so each has an address.
+        """
         address_plan = self.run.address_plan
         peer_addresses = {
             f"relay{other}": (lambda host, port: (host, port + PROXY_PORT_OFFSET))(
@@ -138,6 +149,7 @@
         )
 
     def start(self) -> RelayProcess:
+        """Starts a process; beside one that is running it is an upgrade."""
         self.number += 1
         admin_address = self.run.address_plan.admin(self.n, self.number)
         self.write_file(admin_address)
@@ -159,7 +171,7 @@
         return process
 
     def program(self) -> list[str]:
-        """The program itself, or with a hook of the rig's where one is asked for."""
+        """Arguments of `python -m`: the relay, or hooked.py where the rig changes it."""
         hook = {**({"mistake": self.run.mistake} if self.run.mistake else {}), **self.hook}
         return (
             ["molehill.fleet.hooked", json.dumps(hook)]
@@ -168,7 +180,7 @@
         )
 
     def poll(self) -> None:
-        """Once every LOOK: who is gone, who is ready."""
+        """Handles processes that have ended, and requests `/ready` of those that are starting."""
         for process in list(self.processes):
             if process.child.poll() is not None:
                 self.handle_exit(process)
@@ -176,6 +188,7 @@
                 self.request_ready(process)
 
     def request_ready(self, process) -> None:
+        """Requests `/ready` once; `poll` repeats it until the answer is 200."""
         process.request_pending, reader = True, MessageReader()
 
         def on_data(sock, data, sent_at) -> None:
@@ -197,6 +210,10 @@
         )
 
     def mark_ready(self, process) -> None:
+        """Marks a process as serving.
+
+        In an upgrade it becomes the owner, and the old one is ended.
+        """
         process.state = SERVING
         if process is self.owner:
             self.run.tell_parties(self.name, "ready", life=process.number)
@@ -210,6 +227,7 @@
             self.world.after(TERMINATION_TIMEOUT, self.run.end_child, before.child)
 
     def handle_exit(self, process) -> None:
+        """Records a process that has ended, and restarts the relay if none is left."""
         self.processes.remove(process)
         process.state, code = GONE, process.child.returncode
         if not process.wanted:
@@ -223,12 +241,15 @@
         self.world.tell(self.name, "left on disk", file=self.save_folder(process))
         if self.owner is None:
             self.world.after(RESTART_DELAY, self.restart_if_gone)
-        # one that waits for the folder: what it does is another life's
+        # the next process waits for the state folder: what it does belongs to a start of its own
         else:
             self.world.tell(self.name, "started", life=self.owner.number)
 
     def handed_over(self) -> bool:
-        """Whether the process that is gone had given all to the next one: it says so in its log before it does anything else."""
+        """Whether a handover was completed since the last call.
+
+        The process that hands over logs it before it does anything else.
+        """
         said = (
             (self.run.folder / f"{self.name}.log")
             .read_text(encoding="utf-8", errors="replace")
@@ -238,7 +259,7 @@
         return newly
 
     def save_folder(self, process) -> str:
-        """What it left in its folder, kept for the checker."""
+        """Copies its state folder into one file for the checker; returns the name of that."""
         kept = self.run.folder / f"{self.name}.left{process.number}"
         with open(kept, "wb") as out:
             for path in sorted(self.folder.glob("*")) if self.folder.exists() else ():
@@ -250,9 +271,10 @@
         if not self.processes and not self.run.over:
             self.start()
 
-    # What falls on it
+    # Faults
 
     def signal(self, number: int) -> bool:
+        """Sends a signal to the owner; returns whether there was one."""
         if self.owner is None or self.owner.child.poll() is not None:
             return False
         self.world.tell(self.name, "signal", number=int(number))
@@ -260,6 +282,7 @@
         return True
 
     def kill(self) -> bool:
+        """Kills the owner; returns whether it was serving."""
         hit = self.up
         if self.owner is not None:
             self.owner.wanted = True
@@ -267,12 +290,12 @@
         return hit
 
     def set_shim_fault(self, key: str, value) -> None:
-        """In its process from now on, and in those after it; None: no longer."""
+        """Sets a shim's fault in its current process and later ones; a `value` of None ends it."""
         self.shim_faults = {**self.shim_faults, key: value}
         write_control(self.shim, self.shim_faults)
 
     def set_limit(self, which, value) -> None:
-        """Of the process that serves; back to what it was with `value` None."""
+        """Sets a soft resource limit of the owner; a `value` of None raises it to the hard limit again."""
         if self.owner is not None and self.owner.child.poll() is None:
             soft, hard = resource.prlimit(self.owner.child.pid, which)
             resource.prlimit(
@@ -283,8 +306,13 @@
 
 
 class Run(Script):
-    """`folder`: takes files, logs and histories; `tree`: the program's checkout, this one unless another is named; `older`: that of an
-    older program, which the script may start; `mistake`: a known one, put into each relay; `rig_mistake`: one of the rig's own."""
+    """One run of a scenario on processes.
+
+    `folder`: where files, logs and histories are written; `tree`: the checkout of the program, by
+    default this one; `older`: the checkout of an older program, which the script may start;
+    `mistake`: the name of a mutation that is put into each relay; `rig_mistake`: one that is put
+    into the rig itself. Raises ScenarioError for what can't be played on processes.
+    """
 
     def __init__(self, scenario, folder, tree=None, older=None, mistake=None, rig_mistake=""):
         if older is None and any(fault.kind == "older" for fault in scenario.faults):
@@ -313,6 +341,7 @@
         self.relays = {name: Relay(self, n) for n, name in enumerate(names)}
 
     def child(self, words, **given):
+        """Starts a child process that the kernel kills when this one ends."""
         made = subprocess.Popen(words, preexec_fn=kill_with_parent(os.getpid()), **given)
         self.children.append(made)
         return made
@@ -322,6 +351,7 @@
             child.kill()
 
     def known(self, relay: str) -> dict:
+        """The list of hosts that a relay has in its configuration, as discovery would send it."""
         rows = [
             {
                 "name": name,
@@ -341,6 +371,7 @@
     # Parties
 
     def start_party(self, role: str) -> None:
+        """Starts the process of a stand-in, which writes a line when its listeners are open."""
         spec = self.folder / f"{role}.spec"
         spec.write_bytes(
             msgspec.json.encode(
@@ -373,20 +404,22 @@
             self.waits_for.discard(role)
 
     def send_order(self, **what) -> None:
+        """Sends a line of JSON to all stand-ins."""
         line = msgspec.json.encode(what) + b"\n"
         for child in self.parties.values():
-            with contextlib.suppress(OSError):  # one that died is told of by `poll`
+            with contextlib.suppress(OSError):  # `check_parties` reports a stand-in that has ended
                 child.stdin.write(line)
                 child.stdin.flush()
 
     def tell_parties(self, who: str, what: str, **facts) -> None:
+        """Records an event of a relay and reports it to all stand-ins."""
         self.world.tell(who, what, **facts)
         self.send_order(who=who, what=what)
 
-    # The whole
+    # The run
 
     def play(self) -> None:
-        """Runs to the end and leaves the histories in the folder. Raises NotPlayed."""
+        """Runs to the end and leaves the histories in the folder. Raises RigError."""
         try:
             self.waits_for = set()
             for role in ("hosts", "platform", "programs", *(["cables"] if self.proxied else [])):
@@ -403,7 +436,7 @@
             for fault in self.scenario.faults:
                 if FAULTS[fault.kind] == "relay" and fault.kind != "flood" or fault.kind == "herd":
                     self.world.at(START + fault.at_ms * MS, self.apply_fault, fault)
-                # told by the platform, as each is by whoever carries it out
+                # the platform records it: each fault is recorded by the process that carries it out
                 elif fault.kind == "move":
                     self.world.at(START + fault.at_ms * MS, self.on_move, fault, None, 0)
             longest = max(c.span_ms for c in self.scenario.categories) * MS
@@ -416,6 +449,7 @@
             self.end_all()
 
     def run_until(self, done, what: str) -> None:
+        """Runs the loop until `done()`. Raises RigError after START_TIMEOUT."""
         end = time.monotonic_ns() + START_TIMEOUT
         while not done():
             self.world.run_once()
@@ -424,6 +458,7 @@
                 raise RigError(f"{what} were not ready within {START_TIMEOUT // SECOND} s")
 
     def check_parties(self) -> None:
+        """Raises RigError if a stand-in has ended by itself."""
         for role, child in self.parties.items():
             if child.poll() is not None and not self.over:
                 raise RigError(
@@ -437,7 +472,7 @@
         self.world.after(POLL_INTERVAL, self.poll)
 
     def finish(self) -> None:
-        """Figures are read, then the run is over."""
+        """Reads the relays' metrics and membership, then ends the run."""
         self.world.tell("script", "ends")
         waiting = set()
         for relay in self.relays.values():
@@ -466,12 +501,16 @@
         self.await_pages(waiting)
 
     def await_pages(self, waiting) -> None:
+        """Ends the run when all pages have been read."""
         if not waiting:
             self.world.stopped = True
         self.world.after(POLL_INTERVAL, self.await_pages, waiting)
 
     def fetch_page(self, relay, target: str, waiting, on_body) -> None:
-        """One page of a relay's door."""
+        """Fetches one page from the admin address of a relay and hands its body to `on_body`.
+
+        The page is in `waiting` until then.
+        """
         reader, place = MessageReader(), (relay.name, target)
         waiting.add(place)
 
@@ -490,6 +529,7 @@
         )
 
     def end_all(self) -> None:
+        """Ends all children, waits for them, and closes what the run has open."""
         self.over = True
         self.world.tell("conductor", "lateness", most=self.world.max_lateness)
         self.world.tell("conductor", "cpu", spent=time.process_time())
@@ -520,9 +560,11 @@
     # Faults
 
     def party(self, who: str):
+        """The relay of that name, or None."""
         return self.relays.get(who)
 
     def record_hit(self, fault, affected) -> None:
+        """Records that a fault took effect; one that did not voids the run."""
         if affected:
             self.world.tell("script", "hit", kind=fault.kind, falls_on=fault.who, at_ms=fault.at_ms)
 
@@ -542,7 +584,7 @@
         self.record_hit(fault, hit)
 
     def on_lose_disk(self, fault, relay, span) -> None:
-        """Killed, its folder emptied before the next start."""
+        """Kills the relay and deletes its state folder before the next start."""
         hit = relay.kill()
         if hit:
             relay.owner.child.wait()
@@ -554,7 +596,10 @@
         self.record_hit(fault, relay.up and relay.signal(signal.SIGHUP))
 
     def on_retune(self, fault, relay, span) -> None:
-        """One class more, and as many launches as `worth` says; with 0 the file is cut off and nothing of it may be taken."""
+        """Reloads a changed file: one class more, and as many attempts as `worth` says.
+
+        With 0 the file is cut off, and the relay must apply nothing of it.
+        """
         if int(fault.worth):
             relay.retuned.append(int(fault.worth))
             relay.write_file()
@@ -576,7 +621,11 @@
             self.record_hit(fault, True)
 
     def on_freeze(self, fault, relay, span) -> None:
-        """SIGSTOP, then SIGCONT. Danger: the end of one pause wakes a process that a longer one still holds; so they are counted."""
+        """Sends SIGSTOP, then SIGCONT.
+
+        Pauses of one process may overlap: they are counted, because the end of one would otherwise
+        wake a process that a longer one still holds.
+        """
         process = relay.owner
         if not relay.up:
             return
@@ -586,7 +635,7 @@
         def apply(stopped) -> None:
             if process.child.poll() is None:
                 if not stopped:
-                    # as late as it really was
+                    # records the time at which the pause really ended, which may be late
                     self.world.tell(relay.name, "frozen", until=self.world.now, since=began)
                 process.child.send_signal(signal.SIGSTOP if stopped else signal.SIGCONT)
 
@@ -598,14 +647,14 @@
         self.apply_limit(fault, relay, span, resource.RLIMIT_NOFILE, most)
 
     def on_disk_full(self, fault, relay, span) -> None:
-        """No file of the process may grow: its writes err."""
+        """Limits file sizes to that of the log, so that no file can grow and writes fail."""
         log = relay.folder / "log"
         self.apply_limit(
             fault, relay, span, resource.RLIMIT_FSIZE, log.stat().st_size if log.exists() else 0
         )
 
     def on_clock(self, fault, relay, span) -> None:
-        """Its next process has the wall clock wrong, as after a machine's own start; it is killed for that."""
+        """Kills the relay; its next process has a wrong clock, as after a reboot of the machine."""
         off = (
             {"clock_ms": fault.worth}
             if fault.kind == "clock"
@@ -621,7 +670,8 @@
         self.record_hit(fault, True)
 
     def apply_shim_fault(self, fault, relay, span, key: str) -> None:
-        self.record_hit(fault, True)  # also one that is down: its next start is into it
+        # counts for a relay that is down, too: its next process starts with the fault
+        self.record_hit(fault, True)
         self.apply_during(
             span,
             (relay.name, key),
@@ -638,7 +688,7 @@
         self.apply_shim_fault(fault, relay, span, "connect")
 
     def on_disk_error(self, fault, relay, span) -> None:
-        """Everything fails in the first half of it; then plain writes go well, and all else fails as before."""
+        """All file operations fail in the first half; in the second, plain writes succeed again."""
         self.apply_shim_fault(fault, relay, span, "files")
         self.apply_during(
             span // 2,
@@ -650,6 +700,7 @@
         )
 
     def on_older(self, fault, relay, span) -> None:
+        """Kills the relay and runs the older program in its place for that span."""
         self.record_hit(fault, relay.kill())
         relay.is_older = True
         self.world.after(span, self.start_current_program, relay)
@@ -671,7 +722,7 @@
             )
 
     def on_starve(self, fault, relay, span) -> None:
-        """Busy processes beside it on the one core that it is held to meanwhile."""
+        """Pins the relay to one core for that span, together with processes that keep it busy."""
         if not relay.up:
             return
         core = relay.n % os.cpu_count()
@@ -696,7 +747,10 @@
 
 
 def proxied_pairs(scenario) -> set:
-    """(relay, party) for each way that a fault falls on: a cable has to stand there from the start."""
+    """Pairs (relay, party) that a fault falls on: they need a proxy from the start.
+
+    With membership, each pair of relays has one as well.
+    """
     found = set()
     for fault in scenario.faults:
         if FAULTS[fault.kind] == "pair":
@@ -709,6 +763,7 @@
 
 
 def parse_metrics(body: bytes) -> dict:
+    """The body of `/metrics` as a map of name to value, without the prefix and types."""
     return dict(
         line.partition("|")[0].removeprefix("router.").rsplit(":", 1)
         for line in body.decode().splitlines()
@@ -716,7 +771,7 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Seconds of a core that a process has used so far."""
+    """CPU seconds that a process has used so far; 0 for one that is gone."""
     try:
         words = Path(f"/proc/{pid}/stat").read_text(encoding="utf-8").rpartition(")")[2].split()
     except OSError:
