--- a/molehill/fleet/proxy.py
+++ b/molehill/fleet/proxy.py
@@ -1,11 +1,14 @@
-"""Cables: whatever two parties say to each other goes through here, each direction by itself, and the script says how that fares.
+"""Proxies that inject network faults: traffic between two parties passes one, each direction apart.
 
-A connection's bytes keep their order: they wait (`cut`, `burst`), come later (`delay`) or slowly (`narrow`). Datagrams are lost
-(`lose`, `cut`), repeated, overtaken (`reorder`), spoilt, late, or come all at once when a `burst` is over. A cable counts what it did by
-fault, and says when what it held back was written, as that is when the relay decided on it.
+The bytes of a connection keep their order: they are held back (`cut`, `burst`), delayed (`delay`)
+or sent at a limited rate (`narrow`). Datagrams are lost (`lose`, `cut`), duplicated (`repeat`),
+reordered (`reorder`), corrupted (`spoil_bytes`), delayed, or sent all at once when a `burst` is
+over.
+A proxy counts its effects by fault, and records when bytes that it held back were written, because
+that is when the relay decided on them.
 
-What it can't do: the kernel takes a connection up for the far end, so in a cut a relay's connect succeeds and stays silent, where on a
-real wire it would time out.
+Limitation: the kernel accepts a connection on behalf of the far end, so in a cut a relay's connect
+succeeds and stays silent, where on a real network it would time out.
 """
 
 import socket
@@ -17,19 +20,20 @@
 from molehill.fleet.sockets import PROXY_PORT_OFFSET, Listener, Sock, address_for, connection_name
 from molehill.fleet.world import IN
 
-# bytes of one connection's direction that wait here; then its writer waits, as behind full buffers
+# bytes of one direction of a connection that are queued; beyond it the writer waits, as with full
+# socket buffers
 MAX_WAITING_BYTES = 256 * 1024
-# datagrams of one direction that wait here; what comes beyond is lost, as in a full queue
+# datagrams of one direction that are queued; further ones are lost, as in a full queue
 MAX_WAITING_DATAGRAMS = 4096
-# what was held back so long is told with the time at which it was written
+# bytes that were held back for longer are recorded with the time at which they were written
 MIN_REPORTED_DELAY = 5 * MS
-FLOOD_SOURCE = "127.0.0.1"  # a stranger's address, none of the fleet's
+FLOOD_SOURCE = "127.0.0.1"  # an address outside the fleet
 MAX_FLOOD_PER_TURN = 200
 END, RESET = object(), object()
 
 
 class Direction:
-    """One direction between two parties: what lies on it, and what that touched."""
+    """One direction between two parties: the faults in force, and the counts of their effects."""
 
     def __init__(self, world):
         self.world, self.chance = world, world.chance
@@ -41,10 +45,11 @@
         self.counts[kind] = self.counts.get(kind, 0) + 1
 
     def is_blocked(self) -> bool:
+        """Whether bytes of connections are held back now."""
         return self.cut or self.burst
 
     def due_at(self, size: int) -> int:
-        """When what comes now is through, but for cuts."""
+        """The time at which `size` bytes that arrive now are delivered, cuts apart."""
         now = self.world.now
         due_at = now
         if self.delay:
@@ -57,7 +62,7 @@
         return due_at
 
     def release_if_open(self) -> None:
-        """A cut began or ended."""
+        """Sends on what was held back if nothing blocks it now; called when a fault changes."""
         if not self.is_blocked():
             for pipe in list(self.pipes):
                 pipe.pump()
@@ -66,7 +71,7 @@
                 send(data)
 
     def forward_datagram(self, data: bytes, send) -> None:
-        """A datagram; `send(data)` gives it to the far end."""
+        """Applies the faults to a datagram; `send(data)` delivers it to the far end."""
         if self.cut or len(self.waiting_datagrams) >= MAX_WAITING_DATAGRAMS:
             return self.count_effect("cut")
         if self.chance.random() < self.lose:
@@ -98,7 +103,7 @@
                 self.world.at(due_at, self.deliver_late, data, send)
 
     def deliver_late(self, data, send) -> None:
-        """Danger: what was under way as a cut began is behind it, too."""
+        """Delivers a delayed datagram; one that was in flight when a cut began is lost, too."""
         if self.cut:
             self.count_effect("cut")
         else:
@@ -106,7 +111,7 @@
 
 
 class Pipe:
-    """One direction of one connection."""
+    """One direction of one connection: a queue from `source` to `sink`."""
 
     def __init__(self, direction: Direction, source: Sock, sink: Sock, on_delayed):
         self.direction, self.world, self.source, self.sink, self.on_delayed = (
@@ -126,6 +131,7 @@
         direction.pipes.add(self)
 
     def push(self, what, size: int = 0) -> None:
+        """Queues bytes, END or RESET; pauses the source when the queue is full."""
         if self.finished:
             return
         self.last_due_at = max(self.last_due_at, self.direction.due_at(size))
@@ -139,6 +145,7 @@
         self.pump()
 
     def pump(self) -> None:
+        """Sends on what is due, in order."""
         self.timer_set = False
         while (
             self.queue
@@ -168,7 +175,7 @@
 
 
 class ProxiedConnection:
-    """A connection through the cable: from whoever came to the party that it was for."""
+    """A connection through the proxy, from the party that connected to the one that it was for."""
 
     def __init__(
         self, cables, near: Sock, outbound: Direction, inbound: Direction, address, bound=None
@@ -191,7 +198,7 @@
             bound,
         )
         network, machine = cables.network, cables.machine
-        self.peer = None  # how the far end sees it, once that has it
+        self.peer = None  # the name of the connection at the far end, once it is established there
         self.far = Sock(network, machine, socket.socket(socket.AF_INET, socket.SOCK_STREAM))
         self.outbound_pipe = Pipe(outbound, near, self.far, self.record_delay)
         self.inbound_pipe = Pipe(inbound, self.far, near, lambda since: None)
@@ -209,7 +216,7 @@
         self.dial()
 
     def dial(self) -> None:
-        """Danger: in a cut the wish for a connection is lost like any other byte."""
+        """Connects to the far end; a cut holds that up, because it blocks a SYN like any byte."""
         if self.outbound.cut:
             self.outbound.count_effect("cut")
             self.outbound.pipes.add(self)
@@ -229,22 +236,30 @@
         self.world.tell("cables", "held", peer=self.peer, span=self.world.now - since)
 
     def close_near(self, what) -> None:
-        """The relay's side is gone: the history has it now, the far end when the way lets it through."""
+        """Closes the near side.
+
+        The history has it now, the far end learns of it when the faults allow.
+        """
         if self.peer is not None:
             self.world.tell("cables", "hung up", peer=self.peer)
         self.near.close()
         self.outbound_pipe.push(what)
-        if self.far.state in ("fresh", "dialling"):  # nothing of it ever came there
+        if self.far.state in ("fresh", "dialling"):  # the far end never saw this connection
             self.outbound.pipes.discard(self)
             self.far.close()
 
     def close_far(self, what) -> None:
+        """Closes the far side; the near end learns of it when the faults allow."""
         self.far.close()
         self.inbound_pipe.push(what)
 
 
 class Proxies:
-    """`pairs`: (relay, party) with a cable between; a pair of relays has one for datagrams and one for connections, each way."""
+    """All proxies of a run, with their faults.
+
+    `pairs`: (relay, party) with a proxy between them; a pair of relays has one for datagrams and
+    one for connections in each direction.
+    """
 
     def __init__(self, world, network, scenario, address_plan, pairs):
         self.world, self.network, self.scenario, self.address_plan = (
@@ -284,7 +299,10 @@
         )
 
     def add_relay_proxies(self, a: int, b: int, from_a: str, to_b: str) -> None:
-        """The door at which relay a finds relay b. Datagrams go on from the door at which b finds a, so that b can answer."""
+        """Opens the address at which relay a finds relay b.
+
+        Datagrams are sent on from the address at which b finds a, so that b can answer.
+        """
         address = self.address_plan.relay(b)[0], MEMBERSHIP_PORT
         (door, port), (other, _) = (
             self.address_plan.membership(a, b),
@@ -315,6 +333,7 @@
     # Faults
 
     def start_fault(self, script, fault) -> None:
+        """Applies a fault to its directions for its span, then records how often it took effect."""
         if fault.kind == "flood":
             relay = self.network.relays.index(fault.who)
             return self.flood(
@@ -345,7 +364,7 @@
             self.world.after(span, self.record_effect, fault, direction, before)
 
     def flood(self, fault, address, door, started_at: int, sent_count: int) -> None:
-        """Datagrams of the right version and size, their key's byte drawn, signed by nobody."""
+        """Sends forged datagrams: valid version and size, random key byte, no valid signature."""
         past = min(self.world.now - started_at, fault.span_ms * MS)
         for _ in range(min(MAX_FLOOD_PER_TURN, int(past * fault.worth / SECOND) - sent_count)):
             door.send(b"\x01" + self.world.chance.randbytes(200), address)
@@ -375,6 +394,8 @@
 
 
 class Datagrams:
+    """A non-blocking UDP socket bound to `address`."""
+
     def __init__(self, address):
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.bind(address)
@@ -383,5 +404,5 @@
     def send(self, data: bytes, address) -> None:
         try:
             self.sock.sendto(data, address)
-        except OSError:  # nobody there, or no room: a datagram that is lost
+        except OSError:  # no receiver or no buffer space: the datagram is lost
             pass
--- a/molehill/fleet/sockets.py
+++ b/molehill/fleet/sockets.py
@@ -1,7 +1,8 @@
-"""The emulator's network on the kernel's sockets: the calls that its parties make (`machine`, `connect`, `serve`, `address_seen_by`), no more.
+"""The emulator's network on real sockets, as far as its parties use it.
 
-A party's listener has a socket for each relay, at an address that only this relay is told: so a party knows who calls, and a cable can
-stand before any one of them.
+That is `machine`, `connect`, `serve` and `address_seen_by`.
+A party's listener has a socket for each relay, at an address that only this relay receives. So a
+party knows which relay connects, and a proxy can be placed before any one of them.
 """
 
 import errno
@@ -13,36 +14,43 @@
 
 MAX_READ_BYTES = 64 * 1024
 BACKLOG = 256
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # linger: a close that resets
-PROXY_PORT_OFFSET = 1000  # the port of a cable before a port, above that
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # linger on, 0 s: close sends a reset
+PROXY_PORT_OFFSET = 1000  # a proxy's port is that of its target plus this
 FRESH, DIALLING, OPEN, FAILED = "fresh", "dialling", "open", "failed"
 
 
 def address_for(base, n: int):
-    """The address that relay n is told for a party at `base`."""
+    """The address at which relay n finds a party at `base`."""
     return base[0].rpartition(".")[0] + f".{n + 1}", base[1]
 
 
 def connection_name(near, far) -> str:
-    """A connection by both its ends. Danger: the kernel gives one port to several connections, as long as they go to different addresses."""
+    """Names a connection by both its ends.
+
+    One end is not enough: the kernel gives one local port to several connections, as long as they
+    go to different addresses.
+    """
     return "%s:%d>%s:%d" % (*near, *far)
 
 
 class Machine:
-    """A stand-in's place. What the kernel alone could tell is not known: who was refused by a dead one."""
+    """The machine of a stand-in.
+
+    Connections that the kernel refused while it was down are not known.
+    """
 
     def __init__(self, world, name: str):
         self.world, self.name, self.cut, self.boots = world, name, False, 0
         self.listeners, self.socks, self.failed_connectors = set(), set(), set()
 
     def vanish(self) -> None:
-        """Reads nothing, says nothing; that a relay hung up is seen, for the history alone."""
+        """Reads and sends nothing from now on; only hang-ups of relays are still recorded."""
         self.cut = True
         for sock in [*self.socks, *self.listeners]:
             sock.update_watch()
 
     def back(self) -> None:
-        """Up again, knowing nothing of its connections, nor of those that came meanwhile."""
+        """Comes back as after a reboot: resets its connections and those that arrived meanwhile."""
         self.cut, self.boots = False, self.boots + 1
         self.reset_connections()
         for listener in list(self.listeners):
@@ -50,6 +58,7 @@
             listener.update_watch()
 
     def die(self) -> None:
+        """Closes all listeners and resets all connections."""
         for listener in list(self.listeners):
             listener.close()
         self.reset_connections()
@@ -62,10 +71,10 @@
 
 class Network:
     def __init__(self, world, relays, proxied=()):
-        """`relays`: their names, in the order of their numbers; `proxied`: pairs (relay, party) with a cable between them."""
+        """`relays`: names in order of their numbers; `proxied`: (relay, party) with a proxy."""
         self.world, self.relays, self.proxied = world, list(relays), set(proxied)
         self.machines, self.numbers = {}, 0
-        # who is at the other end -> bytes [heard from it, said to it]
+        # name of the peer -> bytes [received from it, sent to it]
         self.traffic = {}
 
     def machine(self, name: str) -> Machine:
@@ -76,13 +85,13 @@
         return f"{self.world.name}-{self.numbers}"
 
     def address_seen_by(self, relay: str, address, party: str):
-        """What that relay is told for the address of a party."""
+        """The address at which that relay finds a party, or the proxy before it."""
         host, port = address_for(address, self.relays.index(relay))
         return host, port + (PROXY_PORT_OFFSET if (relay, party) in self.proxied else 0)
 
     def connect(self, machine, address, came=None, ended=None, broke=None, up=None) -> "Sock":
         n = int(address[0].rpartition(".")[2]) - 1
-        # parties dial relays only
+        # parties connect to relays only
         sock = Sock(
             self, machine, socket.socket(socket.AF_INET, socket.SOCK_STREAM), self.relays[n]
         )
@@ -101,7 +110,7 @@
 
 class Listener:
     def __init__(self, network, machine, rows, accepted):
-        """`rows`: (name of who calls there, address)."""
+        """`rows`: (name of the party that connects there, address)."""
         self.network, self.world, self.machine, self.accepted, self.listening_sockets = (
             network,
             network.world,
@@ -149,7 +158,7 @@
             return None
 
     def reset_waiting(self) -> set:
-        """Ends what waits at the doors; names of those who came."""
+        """Resets connections that wait to be accepted; returns the names of their parties."""
         names = set()
         for listening_socket, name in self.listening_sockets:
             while (taken := self.accept_one(listening_socket)) is not None:
@@ -167,7 +176,7 @@
 
 
 class Sock:
-    """A party's side of a connection; callbacks and manners as of the emulator's."""
+    """A party's side of a connection, with the callbacks and behaviour of the emulator's."""
 
     def __init__(self, network, machine, sock, peer: str = ""):
         self.network, self.world, self.machine, self.sock = network, network.world, machine, sock
@@ -196,14 +205,14 @@
             self.update_watch()
 
     def update_watch(self) -> None:
-        """Watches for what this side waits for."""
+        """Registers the events that this side waits for."""
         if self.closed:
             return
         if self.machine.cut:
             self.world.watch(self.sock.fileno(), HANGUP, self.handle_hangup)
             return
         mask = OUT if self.state is DIALLING or self.outbox else 0
-        if not mask and self.paused:  # else the kernel would tell its hang-up again and again
+        if not mask and self.paused:  # otherwise epoll would report the hang-up in every turn
             self.world.forget(self.sock.fileno())
         else:
             self.world.watch(
@@ -213,7 +222,7 @@
             )
 
     def handle_hangup(self, mask) -> None:
-        """The other side of one that has vanished is gone."""
+        """Handles a hang-up of the other side while this machine has vanished."""
         self.world.tell(self.machine.name, "call connection over", conn=self.number)
         self.forget()
         self.sock.close()
@@ -247,7 +256,7 @@
             if self.on_came is not None:
                 self.on_came(self, data, self.world.earliest_arrival())
         else:
-            self.paused = True  # the end is told once
+            self.paused = True  # the end of the stream is reported once
             self.update_watch()
             if self.on_ended is not None:
                 self.on_ended(self)
--- a/molehill/fleet/world.py
+++ b/molehill/fleet/world.py
@@ -1,8 +1,10 @@
-"""The emulator's world on the kernel's clock: the same calls (`now`, `at`, `after`, `tell`, `chance`), one loop over epoll a process.
+"""The emulator's world on the real clock, with an epoll loop per process.
 
-Spans are monotonic. `now` counts from START once `begin` has said when that was, as on the virtual clock. What is told goes to this
-process's history: a line of JSON [monotonic ns, process, who, what, facts], stamped *before* an act is done and *after* a thing is
-seen; so of two events one of which led to the other, the stamps are in order, whichever processes they stand in.
+The interface is the same: `now`, `at`, `after`, `tell`, `chance`.
+Times are in ns and monotonic. `now` counts from START once `begin` has set the origin, as on the
+virtual clock. Events go to the history of this process: a line of JSON [monotonic ns, process, who,
+what, facts]. An event is stamped *before* an action is done and *after* a thing is observed. So the
+stamps of cause and effect are in order, even if two processes wrote them.
 """
 
 import select
@@ -15,15 +17,15 @@
 from molehill.config import MS, SECOND
 from molehill.emulator.world import START
 
-LATENESS_INTERVAL = 10 * MS  # how often a loop looks at how late it is
-FLUSH_INTERVAL = 50 * MS  # how long lines of the history wait at most
-TIME_BEFORE_BEGIN = 10_000 * SECOND  # until `begin`, the run is that far off
+LATENESS_INTERVAL = 10 * MS  # interval at which a loop measures its lateness
+FLUSH_INTERVAL = 50 * MS  # the longest that lines of the history are buffered
+TIME_BEFORE_BEGIN = 10_000 * SECOND  # before `begin` is called, the run begins that much later
 IN, OUT, HANGUP = select.EPOLLIN, select.EPOLLOUT, select.EPOLLRDHUP
 encode = msgspec.json.Encoder().encode
 
 
 class World:
-    """`max_lateness`: by how much this loop was late at most since `begin`, timers and turns alike."""
+    """`max_lateness`: largest lateness of timers and turns since `begin`, in ns."""
 
     def __init__(self, name: str, seed, path=None):
         self.name, self.chance = name, Random(f"{seed} {name}")
@@ -38,8 +40,8 @@
         self.file, self.lines = path and open(path, "ab", buffering=0), []
         self.last_poll = self.previous_poll = (
             self.now
-        )  # the last look of the loop, and the one before
-        self.lateness_due = self.now + LATENESS_INTERVAL  # of the next beat
+        )  # when the loop polled last, and the time before
+        self.lateness_due = self.now + LATENESS_INTERVAL  # when `measure_lateness` is due next
         self.at(self.lateness_due, self.measure_lateness)
         self.after(FLUSH_INTERVAL, self.flush_periodically)
 
@@ -48,7 +50,10 @@
         return START + time.monotonic_ns() - self.zero
 
     def begin(self, zero: int) -> None:
-        """The run starts at that reading of the monotonic clock; what is due already stays as far off as it was."""
+        """Sets the start of the run, a reading of the monotonic clock.
+
+        Pending timers keep their distance from now.
+        """
         shift, self.zero, self.begun, self.max_lateness = self.zero - zero, zero, True, 0
         self.heap = [(when + shift, *rest) for when, *rest in self.heap]
         self.last_poll, self.previous_poll, self.lateness_due = (
@@ -80,7 +85,10 @@
         self.after(FLUSH_INTERVAL, self.flush_periodically)
 
     def measure_lateness(self) -> None:
-        """Danger: a rig that is late itself takes its own lateness for a relay's; so each process measures its own."""
+        """Measures how late this loop is.
+
+        Each process does so, because a rig that is late would take its own lateness for a relay's.
+        """
         now = self.now
         self.max_lateness, self.lateness_due = (
             max(self.max_lateness, now - self.lateness_due),
@@ -102,10 +110,11 @@
             self.poll.unregister(fd)
 
     def earliest_arrival(self) -> int:
-        """No byte that is read in this turn came before: the last look found none."""
+        """Earliest possible arrival of bytes read in this turn: the previous poll found none."""
         return self.previous_poll
 
     def run_once(self) -> None:
+        """Polls once, then calls the handlers that are ready and the timers that are due."""
         entered = self.now
         wait = max(0, min(self.heap[0][0] - entered, SECOND)) if self.heap else SECOND
         ready = self.poll.poll(wait / SECOND)
@@ -114,7 +123,7 @@
         self.previous_poll, self.last_poll = now if blocked else self.last_poll, now
         for fd, mask in ready:
             handler = self.handlers.get(fd)
-            if handler is not None:  # else ended by one before it in this turn
+            if handler is not None:  # otherwise an earlier handler of this turn removed it
                 handler(mask)
         while self.heap and self.heap[0][0] <= self.now and not self.stopped:
             _, _, work, args = heappop(self.heap)
