--- a/molehill/fleet/addresses.py
+++ b/molehill/fleet/addresses.py
@@ -1,12 +1,13 @@
-"""Who has which address: all in 127.SLOT.0.0/16, a slot a run, so that runs side by side never meet.
+"""The addresses of a run: all in 127.SLOT.0.0/16, with a slot per run, so that parallel runs never
+conflict.
 
 | who | address |
 | --- | --- |
-| relay n, clients and door | 127.SLOT.1.(n+1), ports 8081 and 9000 + its start's number |
-| the platform, as relay n is told | 127.SLOT.2.(n+1):8500 |
-| host h, as relay n is told | 127.SLOT.(10+h).(n+1):8081 |
-| relay b, as relay a is told (words among relays) | 127.SLOT.(a+1).(b+1):7000 |
-| a cable before any of these | the same, the port 1000 higher |
+| relay n, for clients and for administration | 127.SLOT.1.(n+1), ports 8081 and 9000 + its start's number |
+| the platform, for relay n | 127.SLOT.2.(n+1):8500 |
+| host h, for relay n | 127.SLOT.(10+h).(n+1):8081 |
+| relay b, for relay a (membership) | 127.SLOT.(a+1).(b+1):7000 |
+| a proxy before any of these | the same, the port 1000 higher |
 """
 
 import os
@@ -19,11 +20,13 @@
     8081,
     7000,
 )
-CLAIM_PORT = 40_001  # port on 127.SLOT.0.1 that a run holds
+CLAIM_PORT = 40_001  # port on 127.SLOT.0.1 on which a run listens to keep its slot
 SLOTS = range(16, 240)
 
 
 class AddressPlan:
+    """The addresses of the run that has `slot`."""
+
     def __init__(self, slot: int):
         self.slot = slot
 
@@ -40,12 +43,15 @@
         return f"127.{self.slot}.{10 + h}.0", HOST_PORT
 
     def membership(self, a: int, b: int):
-        """Where relay a finds relay b."""
+        """The address at which relay a finds relay b."""
         return f"127.{self.slot}.{a + 1}.{b + 1}", MEMBERSHIP_PORT
 
 
 def claim_slot():
-    """(a slot that is this run's while the socket is open, that socket); raises OSError where all are taken."""
+    """Returns a free slot and the socket that keeps it; it belongs to this run while that is open.
+
+    Raises OSError if all slots are taken.
+    """
     first = os.getpid() % len(SLOTS)
     for n in range(len(SLOTS)):
         slot = SLOTS[(first + n) % len(SLOTS)]
--- a/molehill/fleet/history.py
+++ b/molehill/fleet/history.py
@@ -1,8 +1,9 @@
-"""One history out of those that the processes wrote: (time, who, what, facts), in order, from the run's beginning on.
+"""Merges the histories of the processes of a run into one: (time, who, what, facts), in order.
 
-Time is that of the emulator's world (START when load begins). Stamps of two processes are of one monotonic clock, taken before an act and
-after a sight: of two that are tied by a cause, the cause is first. `doubt`: how much earlier than its stamp a thing that was seen may
-have happened: the most that any stand-in was late (the conductor sees nothing, it acts).
+Times are those of the emulator's world (START when load begins). The stamps of all processes come
+from one monotonic clock, and are taken before an action and after an observation: so a cause is
+before its effect. `doubt` is how much earlier than its stamp an observed event may have happened:
+the largest lateness of any stand-in (the conductor observes nothing, it only acts).
 """
 
 from pathlib import Path
@@ -13,22 +14,26 @@
 
 
 class History:
-    """`rows`: the run; `rest`: what came before load began or after its end, in order as well; `folder`: where files lie that it names."""
+    """The events of one run.
+
+    `rows`: those up to the end of the run; `rest`: later ones, in order as well; `doubt`: in ns;
+    `folder`: where the files are that events name.
+    """
 
     def __init__(self, rows, doubt: int = 0, folder=None, rest=()):
         self.rows, self.doubt, self.folder, self.rest = rows, doubt, folder, list(rest)
-        self.lateness = {}  # process of the rig -> by how much it was late at most
+        self.lateness = {}  # process of the rig -> its largest lateness in ns
 
 
 def read(folder) -> History:
-    """Of a run's folder. Raises ValueError for one whose run did not begin."""
+    """Reads the history in the folder of a run. Raises ValueError if the run did not begin."""
     folder, lines = Path(folder), []
     for path in sorted(folder.glob("*.history")):
         for n, line in enumerate(path.read_bytes().splitlines()):
             try:
                 stamp, process, who, what, facts = msgspec.json.decode(line)
             except (msgspec.DecodeError, ValueError):
-                continue  # the last line of a process that was cut off
+                continue  # the cut off last line of a process that was killed
             lines.append((stamp, process, n, who, what, facts))
     lines.sort(key=lambda row: row[:3])
     begun = [facts for *_, what, facts in lines if what == "begins"]
@@ -39,7 +44,7 @@
     for stamp, process, _, who, what, facts in lines:
         if what == "lateness":
             late[process] = facts["most"]
-        # What led up to the run (starts, the first lists) is part of it; what its end brings is not.
+        # What precedes the run (starts, the first lists) is part of it; what its end causes is not.
         (rows if stamp <= over else rest).append((START + stamp - zero, who, what, facts))
     history = History(
         resolve_proxy_events(rows),
@@ -52,7 +57,10 @@
 
 
 def resolve_proxy_events(rows):
-    """Rows with names for what a cable saw of a connection that the far end numbered, and calls with the time at which they were written."""
+    """Resolves the proxies' events to the numbers that the far ends gave to their connections.
+
+    Calls that a proxy held back get the time at which the relay wrote them.
+    """
     numbers, held, made = {}, {}, []
     for now, who, what, facts in rows:
         if what == "accepted":
@@ -71,7 +79,8 @@
         if what == "accepted":
             peers[facts["conn"]] = facts["peer"]
         elif what == "call" and peers.get(facts["conn"]) in held:
-            # Danger: by how much the host's loop woke late is not known. So what was passed on since the call before is this one's.
+            # How late the host's loop woke is not known, so all that was forwarded since the call
+            # before is taken for this one's.
             rows, since = held[peers[facts["conn"]]], facts["since"]
             while rows and rows[0][0] <= now:
                 since = min(since, rows.pop(0)[1])
--- a/molehill/fleet/members.py
+++ b/molehill/fleet/members.py
@@ -1,6 +1,7 @@
-"""Properties of membership, from what relays say of themselves in their logs and at their doors, and from what the script did to them.
+"""Checks the properties of membership from the relays' logs, their `/fleet` pages and the script.
 
-Bounds come from the scenario alone, by formulas of this file's own: nothing is taken from the code that is checked.
+The bounds T1 to T4 are computed from the scenario by formulas of this file; nothing is taken from
+the code that is checked.
 """
 
 import ast
@@ -14,16 +15,20 @@
 
 TIMESTAMP = re.compile(r"timestamp='([^']+)'")
 KEY_VALUE = re.compile(r"(\w+)=('(?:[^'\\]|\\.)*'|\S+)")
-# As the operators' page states them, where a file names none
+# the documented defaults, for what a scenario does not set
 DEFAULT_MS = {"roundMs": 500, "aloneAfterMs": 2000, "stalledMs": 400, "floorMs": 100}
 BYTES_PER_S, BURST_S = 20_000, 4
-# T4: a lost one is called each 5 rounds, twice; is told, refutes; and the rumour takes twice log2 of the size
+# T4: a lost relay is probed every 5 rounds, twice; it learns of it and refutes; and the rumour
+# takes twice log2 of the size to spread
 AGREEMENT_ROUNDS = 16
-REJOIN_MS = 3000  # a relay that was killed is back and has joined
+REJOIN_MS = 3000  # within it a killed relay has restarted and joined
 
 
 def log_rows(folder, told):
-    """(time, relay, its line's pairs) of what relays wrote; their wall clock is set beside the rig's as the run began."""
+    """Yields (time, relay, line) of the relays' logs.
+
+    Their wall clock times are converted by the rig's wall clock at the start of the run.
+    """
     for path in sorted(folder.glob("relay*.log")):
         for line in path.read_text(encoding="utf-8", errors="replace").splitlines():
             found = TIMESTAMP.search(line)
@@ -37,7 +42,7 @@
 
 
 def membership_events(folder, told) -> list[tuple]:
-    """(time, relay, event, facts) of the lines about membership, in order."""
+    """Returns (time, relay, event, facts) of the log lines about membership, in order of time."""
     rows = []
     for now, relay, line in log_rows(folder, told):
         facts = {}
@@ -60,7 +65,7 @@
 
 
 class Bounds:
-    """T1 to T4 in ns. `doubt`: of the run."""
+    """The bounds T1 to T4 in ns, widened by the `doubt` of the run."""
 
     def __init__(self, scenario, doubt: int):
         ms = {**DEFAULT_MS, **scenario.fleet.spans}
@@ -74,7 +79,10 @@
 
 
 def trouble_spans(scenario) -> list[tuple[str, int, int]]:
-    """(relay, from, to) of what the script does to a relay, its ways to others and itself; what it says then may be of use to nobody."""
+    """Returns (relay, from, to) of the faults on a relay or on its paths to other relays.
+
+    What a relay reports meanwhile may be wrong.
+    """
     rows = []
     relays = {f"relay{n}" for n in range(scenario.relays)}
     for f in scenario.faults:
@@ -92,7 +100,7 @@
 
 
 def cut_spans(scenario) -> list[tuple[str, int, int]]:
-    """(relay, from, to) of each that one `cut` keeps from hearing any other, or from being heard by any."""
+    """Returns (relay, from, to) where one `cut` separates a relay from all others, either way."""
     rows, relays = [], {f"relay{n}" for n in range(scenario.relays)}
     for f in scenario.faults:
         if f.kind == "cut":
@@ -110,7 +118,7 @@
 
 
 def check(history, scenario) -> list[tuple[str, str, str, dict]]:
-    """(word, property, text, facts) of each that does not hold, or can't be told; empty if all hold."""
+    """Returns (word, property, text, facts) of each property that is broken or unknown."""
     bounds, rows = Bounds(scenario, history.doubt), membership_events(history.folder, history)
     return [
         found
@@ -127,6 +135,7 @@
 
 
 def never_back(history, scenario, bounds, rows):
+    """No process goes back to an older incarnation and turn of another relay."""
     best = {}
     for now, relay, event, facts in rows:
         if event == "member begins":
@@ -145,7 +154,7 @@
 
 
 def status_at(rows, relay: str, when: int):
-    """(what it said of itself last, since)."""
+    """Returns (the status that the relay logged of itself last, since when)."""
     last = "alone", 0
     for now, who, event, facts in rows:
         if now > when:
@@ -158,7 +167,7 @@
 
 
 def alone_in_time(history, scenario, bounds, rows):
-    """One that hears nobody, or is heard by nobody, says so."""
+    """A relay that hears nobody, or is heard by nobody, reports that it is alone within T3."""
     for relay, begun, over in cut_spans(scenario):
         when = begun + bounds.t3
         if (
@@ -175,7 +184,7 @@
 
 
 def is_busy(scenario, relay, begun, over) -> bool:
-    """Something else is done to it meanwhile, or all that could judge it are in trouble: nothing can be told."""
+    """Whether another fault falls on the relay in that span, so that nothing can be concluded."""
     return any(
         who == relay and first < over and last > begun and first != begun
         for who, first, last in trouble_spans(scenario)
@@ -183,6 +192,7 @@
 
 
 def lost_in_time(history, scenario, bounds, rows):
+    """Connected relays regard one that is cut off as lost within T2."""
     for relay, begun, over in cut_spans(scenario):
         when = begun + bounds.t2
         if when >= over or is_busy(scenario, relay, begun, when):
@@ -212,7 +222,7 @@
 
 
 def not_lost_for_nothing(history, scenario, bounds, rows):
-    """One to which nothing was done is lost to no connected relay."""
+    """No connected relay regards a relay as lost on which no fault fell."""
     marks = trouble_spans(scenario)
     for now, viewer, event, facts in rows:
         if event == "member" and facts["now"] == "lost":
@@ -232,7 +242,7 @@
 
 
 def agree_in_the_end(history, scenario, bounds, rows):
-    """T4 after the last fault, all that are up are alive to all, and each says connected."""
+    """T4 after the last fault, all running relays are connected and regard each other as alive."""
     views = {
         who: facts["view"]
         for _, who, what, facts in [*history.rows, *history.rest]
@@ -266,6 +276,7 @@
 
 
 def within_allowance(history, scenario, bounds, rows):
+    """No relay sends more bytes for membership than its settings allow."""
     lives = {}
     for now, relay, event, _ in rows:
         if event == "member begins":
--- a/molehill/fleet/mutations.py
+++ b/molehill/fleet/mutations.py
@@ -1,6 +1,8 @@
-"""Known mistakes of the rig itself, each made in memory: what its own checks have to find, or a good verdict means nothing.
+"""Known mistakes of the rig itself, planted in memory.
 
-Those of relays are the emulator's (`molehill/emulator/mutations.py`), put into processes by hooked.py. Used by measurements and tests only.
+Its checks must find them, or a good verdict means nothing.
+Those of relays belong to the emulator (`molehill/emulator/mutations.py`) and are put into processes
+by hooked.py. Used by measurements and tests only.
 """
 
 from contextlib import contextmanager
@@ -10,7 +12,7 @@
 
 
 def lets_all_through(before):
-    """It counts what it ought to hold back, and hands it on."""
+    """The proxy counts what it ought to hold back, but forwards it."""
 
     def is_blocked(self):
         return False
@@ -19,10 +21,13 @@
 
 
 def other_way_round(before):
+    """Faults fall on the opposite direction."""
     return lambda scenario, who: [(b, a) for a, b in before(scenario, who)]
 
 
 def some_twice(before):
+    """The proxy forwards a tenth of the data twice."""
+
     def push(self, what, size=0):
         before(self, what, size)
         if size and self.direction.chance.random() < 0.1:
@@ -32,7 +37,7 @@
 
 
 def order_of_processes(before):
-    """Events stand by process, not by time."""
+    """Events are ordered by process, not by time."""
 
     def read(folder):
         found = before(folder)
@@ -43,7 +48,7 @@
 
 
 def stamped_late(before):
-    """The programs' clock reads 80 ms too much."""
+    """The clock of the programs' process is 80 ms fast."""
 
     def read(folder):
         found = before(folder)
@@ -60,7 +65,7 @@
 
 
 def never_late(before):
-    """A rig that does not see that it is late."""
+    """The rig does not notice its own lateness."""
 
     def measure_lateness(self):
         before(self)
@@ -69,7 +74,8 @@
     return measure_lateness
 
 
-# name -> (which process it is in: cables, or the checker's; the place, the attribute, what makes the wrong one of the right one)
+# name -> (process that has it: cables or checker; owner of the attribute, the attribute, function
+# that makes the wrong one of the right one)
 MUTATIONS = {
     "a cut lets all through": ("cables", proxy.Direction, "is_blocked", lets_all_through),
     "a cut falls on the other direction": ("cables", proxy, "directions", other_way_round),
@@ -82,7 +88,7 @@
 
 @contextmanager
 def mutated(name: str, process: str):
-    """Within it, that mistake is made if it belongs to `process`."""
+    """Plants that mistake for the duration of the block, if it belongs to `process`."""
     where, place, attribute, change = MUTATIONS[name]
     before = getattr(place, attribute)
     if where == process:
--- a/molehill/fleet/party.py
+++ b/molehill/fleet/party.py
@@ -1,7 +1,10 @@
-"""A stand-in's process: hosts, platform, programs or cables, run as `python -m molehill.fleet.party SPEC`.
+"""A stand-in's process: hosts, platform, programs or cables.
 
-Orders come as lines of JSON on standard input: {"begin": monotonic ns}, then what the conductor tells; its end is this process's end,
-so none outlives the tool. A line "up" on standard output says that all listeners are open.
+It is run as `python -m molehill.fleet.party SPEC`.
+
+Orders arrive as lines of JSON on standard input: {"begin": monotonic ns}, then the events that the
+conductor reports. At the end of the input the process ends, so that none outlives the tool. A line
+"up" on standard output says that all listeners are open.
 """
 
 import os
@@ -27,23 +30,27 @@
 from molehill.fleet.sockets import Network
 from molehill.fleet.world import IN, World
 
-# PR_SET_PDEATHSIG, for tools that die without closing anything
+# option of prctl: a signal on the parent's death, for tools that die without closing anything
 PR_SET_PDEATHSIG = 1
 
 
 class Spec(msgspec.Struct):
-    """`role`: of ROLES; `history`: the file that this process writes; `cabled`: pairs (relay, party) with a cable before the party."""
+    """What a stand-in's process is started with.
+
+    `role`: a key of ROLES; `history`: the file that this process writes; `cabled`: pairs (relay,
+    party) with a proxy before the party.
+    """
 
     role: str
     scenario: str
     slot: int
     history: str
     cabled: list[tuple[str, str]] = []
-    mistake: str = ""  # of mutations.py
+    mistake: str = ""  # a key of mutations.MUTATIONS
 
 
 class RemoteParty:
-    """A party that another process has: what is done to it is done there."""
+    """Stands for a party that another process runs and acts on: ignores all calls."""
 
     def __getattr__(self, name):
         return lambda *_: None
@@ -53,8 +60,10 @@
 
 
 class Party(Script):
+    """A stand-in's process: its world, its network, and the faults that it carries out."""
+
     KINDS: tuple = ()  # kinds of fault that are carried out here
-    # of those, what another process carries out as well, and tells of
+    # of those, kinds that another process carries out as well, and records
     REPORTED_ELSEWHERE: tuple = ()
 
     def __init__(self, spec: Spec):
@@ -72,10 +81,10 @@
         self.world.watch(0, IN, self.read_orders)
 
     def open_listeners(self) -> None:
-        """Opens its listeners."""
+        """Opens the listeners of this process."""
 
     def handle_begin(self) -> None:
-        """The run's time has been told."""
+        """Called when the start of the run is known."""
 
     def apply_fault(self, fault) -> None:
         if fault.kind not in self.REPORTED_ELSEWHERE:
@@ -112,7 +121,7 @@
                 self.handle_relay_event(order["who"], order["what"])
 
     def handle_relay_event(self, who: str, what: str) -> None:
-        """What the conductor tells of a relay."""
+        """Handles an event of a relay that the conductor reports."""
 
 
 class Hosts(Party):
@@ -207,7 +216,7 @@
 
 
 def main() -> None:
-    # the tool's to act on: it ends this one by closing its input
+    # an interrupt is for the tool, which ends this process by closing its input
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     signal.signal(signal.SIGPIPE, signal.SIG_IGN)
     with open(sys.argv[1], "rb") as file:
--- a/molehill/fleet/play.py
+++ b/molehill/fleet/play.py
@@ -1,4 +1,4 @@
-"""One scenario on one stage: a verdict of one form for both."""
+"""Plays a scenario on either stage (emulated or processes): a verdict of the same form for both."""
 
 import shutil
 import tempfile
@@ -15,13 +15,16 @@
 from molehill.fleet.conductor import RigError, Run
 from molehill.fleet.mutations import mutated as rig_mutated
 
-# the referee has judged already, and nothing is ever late
+# checked after an emulated run: its referee has judged the rules, and nothing is ever late
 ON_VIRTUAL_CLOCK = ("faults hit", "causes first", "cuts hold")
 SCENARIO, VERDICT = "scenario.toml", "verdict.json"
 
 
 def play(scenario, stage: str, folder=None, **programs) -> dict:
-    """`folder`: where a run on processes leaves its files, which are else taken away; `programs`: `tree`, `older`, `mistake` of conductor.Run.
+    """Plays a scenario and returns its verdict.
+
+    `folder`: where a run on processes leaves its files, which are otherwise deleted; `programs`:
+    `tree`, `older`, `mistake` of conductor.Run.
 
     Raises ScenarioError for what can't be played on that stage.
     """
@@ -93,7 +96,7 @@
 
 
 def judge(folder: Path, scenario=None) -> dict:
-    """The verdict on a run whose folder was kept."""
+    """Returns the verdict on a run from the files in its folder."""
     scenario = scenario or scenarios.load((folder / SCENARIO).read_text(encoding="utf-8"))
     told = history.read(folder)
     verdict = checker.check(told, scenario)
@@ -101,8 +104,10 @@
 
 
 def with_seed(scenario, seed: int):
+    """Returns the scenario with another seed."""
     return replace(scenario, seed=seed)
 
 
 def count_words(verdicts) -> dict:
+    """Counts verdicts by their word."""
     return dict(sorted(Counter(verdict["word"] for verdict in verdicts).items()))
