--- a/molehill/fleet/__init__.py
+++ b/molehill/fleet/__init__.py
@@ -1,5 +1,7 @@
-"""A fleet on one machine: real relay processes, stand-ins and cables between them, one history, one verdict.
+"""A fleet on one machine: real relay processes, stand-ins, and proxies between them.
 
-Handed: a scenario of the emulator's form, with `--stage processes`. Handed back: a verdict of the emulator's form, with findings by
-property. The daemon imports nothing of it; it imports of the daemon only what configurations are written by. All is on 127.0.0.0/8.
+It takes a scenario in the emulator's form (`--stage processes`), merges the histories of the
+processes into one, and returns a verdict in the emulator's form with findings by property. The
+relay imports nothing of this package; the package imports of the relay only what configurations are
+written with. All addresses are in 127.0.0.0/8.
 """
--- a/molehill/fleet/compare.py
+++ b/molehill/fleet/compare.py
@@ -1,4 +1,4 @@
-"""Two programs, or two settings, on paired seeds: a ratio with its interval."""
+"""Compares two programs or two settings on paired seeds: a ratio with its confidence interval."""
 
 import json
 import subprocess
@@ -15,15 +15,15 @@
 from molehill.fleet import play as plays
 from molehill.fleet.conductor import CHECKOUT
 
-DRAWS, SHARE = 2000, 0.95  # of the bootstrap; how much of it the interval holds
+DRAWS, SHARE = 2000, 0.95  # bootstrap samples; share of their means that the interval contains
 
 
 class InvalidCandidate(ValueError):
-    """A side of a comparison that is neither a commit nor settings; the text names it."""
+    """A side of a comparison is neither a commit nor settings; the message names it."""
 
 
 def checkout(revision: str, folder: Path) -> Path:
-    """The program as of that commit, laid into `folder`. Raises Unusable."""
+    """Extracts the program of that commit into `folder`. Raises InvalidCandidate."""
     folder.mkdir(parents=True, exist_ok=True)
     packed = subprocess.run(
         ["git", "-C", str(CHECKOUT), "archive", revision], capture_output=True, check=False
@@ -37,7 +37,10 @@
 
 
 def with_settings(scenario, text: str):
-    """The scenario with `key=value,key=value` of its own plain fields. Raises Unusable."""
+    """Returns the scenario with `key=value,key=value` set in its plain fields.
+
+    Raises InvalidCandidate.
+    """
     rows = msgspec.to_builtins(scenario)
     for part in text.split(","):
         key, _, value = part.partition("=")
@@ -54,6 +57,8 @@
 
 
 class Candidate:
+    """A side of a comparison: a commit, or `key=value` settings of the scenario."""
+
     def __init__(self, text: str, scenario, folder: Path):
         self.text, self.scenario, self.tree = text, scenario, None
         if "=" in text:
@@ -62,9 +67,9 @@
             self.tree = checkout(text, folder)
 
     def play(self, seed: int, stage: str) -> dict:
-        """`word`, `service`, and on processes the 99th percentile of delivery."""
+        """Returns `word`, `service`, and on processes the 99th percentile of delivery latency."""
         scenario = plays.with_seed(self.scenario, seed)
-        # a commit's own emulator plays its own relay
+        # the emulator of a commit plays the relay of that commit
         if stage == "emulated" and self.tree is not None:
             with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
                 file.write(scenarios.dump(scenario))
@@ -90,7 +95,7 @@
 
 
 def confidence_interval(ratios, seed: int = 1):
-    """Mean of the ratios and the bounds that hold SHARE of bootstrap means."""
+    """Returns the mean of the ratios and the bounds that contain SHARE of the bootstrap means."""
     chance = Random(seed)
     means = sorted(mean(chance.choices(ratios, k=len(ratios))) for _ in range(DRAWS))
     edge = int(DRAWS * (1 - SHARE) / 2)
@@ -103,14 +108,17 @@
 
 
 def compare(scenario, a: str, b: str, seeds, stage: str, told=lambda seed, rows: None) -> dict:
-    """B beside A, in turn on each seed: word counts, and for each figure the ratio B/A over pairs of which neither was void."""
+    """Plays A and B on each seed in turn.
+
+    Returns word counts, and for each figure the ratio B/A over pairs of which neither was void.
+    """
     with tempfile.TemporaryDirectory(prefix="molehill-trees-") as trees:
         sides = [
             Candidate(text, scenario, Path(trees) / name) for name, text in (("a", a), ("b", b))
         ]
         pairs = []
         for n, seed in enumerate(seeds):
-            # neither is always the second on a warm machine
+            # alternates the order, so that neither is always the second on a warm machine
             order = sides if n % 2 == 0 else sides[::-1]
             rows = {side.text: side.play(seed, stage) for side in order}
             pairs.append([rows[side.text] for side in sides])
--- a/molehill/fleet/figures.py
+++ b/molehill/fleet/figures.py
@@ -1,4 +1,4 @@
-"""What a run's history says of service: pure functions, plain data out."""
+"""Computes figures of a run from its history: pure functions that return plain data."""
 
 from collections import defaultdict
 
@@ -12,7 +12,10 @@
 
 
 def delivery(history) -> dict:
-    """Milliseconds from a callback's being due at its program to its host's answer: percentile -> ms; with the count."""
+    """Delivery latency by percentile, with the count.
+
+    In ms, from the time at which a callback is due at its program to its host's answer.
+    """
     born, of, seen = {}, {}, set()
     row = HdrHistogram(LEAST_US, MOST_US, DIGITS)
     for now, who, what, facts in history.rows:
@@ -36,7 +39,7 @@
 
 
 def by_second(history) -> list[tuple[int, int, int]]:
-    """(second, callbacks that came due in it, of those delivered)."""
+    """Returns (second, callbacks that came due in it, how many of those were delivered)."""
     born, of, rows, seen = {}, {}, defaultdict(lambda: [0, 0]), set()
     for now, who, what, facts in history.rows:
         if what == "wants":
@@ -52,7 +55,10 @@
 
 
 def costs(history) -> dict:
-    """Processor seconds by process, and bytes that the stand-ins exchanged with each relay; relays' own are those of their last process."""
+    """CPU seconds by process, and bytes that the stand-ins exchanged with each relay.
+
+    Those of a relay are of its last process only.
+    """
     cpu, traffic = {}, defaultdict(lambda: [0, 0])
     for _, who, what, facts in [*history.rows, *history.rest]:
         if what == "figures":
@@ -74,7 +80,7 @@
 
 
 def fault_spans(history, scenario) -> list[tuple[str, float, float]]:
-    """(what fell on whom, from, to) in seconds of the run, for plots."""
+    """Returns (fault and target, from, to) in seconds of the run, for plots."""
     rows = [
         (f"{f.kind} {f.who}", f.at_ms / 1000, (f.at_ms + max(f.span_ms, 50)) / 1000)
         for f in scenario.faults
--- a/molehill/fleet/generator.py
+++ b/molehill/fleet/generator.py
@@ -1,4 +1,8 @@
-"""Days drawn from a seed for either stage: the emulator's rough days with the kinds that processes can play, and ways that are cut or slow."""
+"""Draws scenarios from a seed for either stage.
+
+They are those of the emulator's generator, restricted to faults that processes can play, with
+faults on the network paths between relays and other parties.
+"""
 
 import errno
 from random import Random
@@ -8,7 +12,7 @@
 from molehill.emulator import generator
 from molehill.emulator.scenario import EMULATED_ONLY, FAULTS, Fault, FleetPlan, Scenario, check
 
-# kind -> (weight, least and most worth)
+# kind -> (weight, (least, most `worth`))
 PATH_FAULTS = {
     "cut": (6, (0, 0)),
     "burst": (1, (0, 0)),
@@ -16,8 +20,9 @@
     "narrow": (1, (500, 20_000)),
 }
 MAX_PATH_FAULT_MS = 4000
-HOST_RETURN_MS = 1500  # a host that was avoided has calls again by then, or soon
-# What counts steps of the relay has no like on processes; the rest of the emulator's kinds stays as often as there.
+HOST_RETURN_MS = 1500  # by then, or soon after, a host that was avoided gets calls again
+# Faults that count steps of the relay have no equivalent on processes; the emulator's other kinds
+# keep their weights.
 FAULT_WEIGHTS = {**{kind: 0 for kind in EMULATED_ONLY}, "upgrade": 1, "kill": 6, "freeze": 4}
 
 
@@ -27,7 +32,7 @@
     made = generator.make(seed, {**FAULT_WEIGHTS, **(weights or {})}, span_ms, relays)
     chance = Random(f"ways {seed}")
     hosts = [f"h{e.destination}-{n}" for e in made.endpoints for n in range(e.hosts)]
-    # edges aim some beside others
+    # the edge cases of the emulator's generator add such kinds despite the weights
     faults = [fault for fault in made.faults if fault.kind not in EMULATED_ONLY]
     for _ in range(chance.randrange(path_faults + 1)):
         kind = chance.choices(list(PATH_FAULTS), [weight for weight, _ in PATH_FAULTS.values()])[0]
@@ -54,7 +59,10 @@
 
 
 def without_overlaps(faults) -> list[Fault]:
-    """Without those that fall on a host while another fault has it, or soon after: they would touch nothing, and void the day."""
+    """Removes faults on a host that overlap an earlier one, or follow it soon.
+
+    They would touch nothing and void the run.
+    """
     kept, until = [], {}
     for fault in faults:
         if FAULTS[fault.kind] == "host":
@@ -65,7 +73,8 @@
     return kept
 
 
-# kind -> (weight, least and most span in ms, what `worth` is drawn from): for soaks, beside those of the emulator
+# for soaks, in addition to the emulator's kinds:
+# kind -> (weight, (least, most span in ms), values of `worth`)
 MACHINE_FAULTS = {
     "wall_step": (4, (0, 0), (3_600_000, -3_600_000, 10_000, -10_000, 900, -900)),
     "accept_error": (
@@ -86,8 +95,8 @@
         ),
     ),
     "disk_error": (3, (300, 4000), (errno.EIO, errno.ENOSPC)),
-}  # a restart takes over a second
-# Ends and beginnings of processes that a soak lays over them, and how soon after them
+}  # a restart takes over a second, so the longest spans outlast it
+# faults that end or start a process, which a soak combines with those, and within how many ms
 PROCESS_END_FAULTS = ("kill", "kill", "restart", "upgrade", "hup", "freeze", "herd")
 CROSSED_MS = 1600
 
@@ -95,7 +104,10 @@
 def draw_soak_scenario(
     seed: int, relays: int = 10, span_ms: int = 4000, shims: int = 4
 ) -> Scenario:
-    """A drawn day with that many faults of a relay's machine, half of them with the end of a process laid over them."""
+    """Draws a scenario with `shims` faults of a relay's machine.
+
+    About half of them are followed by a fault that ends or starts a process.
+    """
     made, chance = (
         draw_scenario(seed, relays, span_ms, 1, {"dead": 0, "vanished": 0}),
         Random(f"soak {seed}"),
@@ -137,12 +149,16 @@
 
 
 MEMBERSHIP_SETTINGS = {"roundMs": 200, "aloneAfterMs": 800, "stalledMs": 300, "floorMs": 60}
-AGREEMENT_MS = 11_000  # for views to agree, at 8 relays and these spans
+AGREEMENT_MS = 11_000  # time for views to agree, for 8 relays and these settings
 
 
 def draw_membership_scenario(seed: int) -> Scenario:
-    """Relays that know of each other: pauses just under and over each bound, losses, cuts of each direction, rings, halves, one deaf, one dumb,
-    kills and restarts, two or three at once; quiet enough at the end for all to agree again."""
+    """Draws a scenario of relays with membership.
+
+    Its faults are pauses just under and over each bound, losses, cuts of one direction, of rings,
+    between halves, of all that one relay receives or sends, kills and restarts, up to three at
+    once. The end is quiet for long enough that all views agree again.
+    """
     chance = Random(f"members {seed}")
     count = chance.choice([3, 3, 5, 5, 8])
     names = [f"relay{n}" for n in range(count)]
--- a/molehill/fleet/hooked.py
+++ b/molehill/fleet/hooked.py
@@ -1,7 +1,9 @@
-"""The relay's own `main` with something of the rig's in its process: `python -m molehill.fleet.hooked SPEC`, SPEC being JSON.
+"""Runs the relay's `main` with changes of the rig: `python -m molehill.fleet.hooked SPEC`.
 
-`clock_ms`: its wall clock is so far off. `drift`, `drift_from`: its monotonic clock gains that share of each second (0.02: 2 % fast) since
-that reading of it. `mistake`: one of the emulator's known mistakes is put into it. `shim`: the control file of molehill/fleet/shims.py. No `run` line uses this.
+SPEC is JSON. `clock_ms`: offset of the wall clock in ms. `drift`, `drift_from`: share of each
+second that the monotonic clock gains (0.02: 2 % fast) since that reading of it. `mistake`: a
+mutation of the emulator that is planted. `shim`: the control file of molehill/fleet/shims.py. No
+production start command uses this module.
 """
 
 import json
@@ -16,10 +18,12 @@
 
 
 def drifting_clock(drift: float, since: int):
+    """Returns a monotonic clock in ns that gains the share `drift` since the reading `since`."""
     return lambda: (now := time.monotonic_ns()) + int((now - since) * drift)
 
 
 def play(spec: dict) -> int:
+    """Runs the relay with the changes of `spec`; returns its exit code."""
     mistake = nullcontext()
     if spec.get("mistake"):
         from molehill.emulator.mutations import mutated
--- a/molehill/fleet/report.py
+++ b/molehill/fleet/report.py
@@ -1,4 +1,7 @@
-"""One HTML file about a run whose folder was kept: what it showed, with plots drawn as SVG. No display, no script, nothing fetched."""
+"""Writes an HTML report on a run from its folder, with plots as SVG.
+
+It needs no display; the page has no scripts and fetches nothing.
+"""
 
 import io
 import json
@@ -42,7 +45,7 @@
     figure.savefig(out, format="svg")
     pyplot.close(figure)
     text = out.getvalue()
-    return Markup(text[text.index("<svg") :])  # ours, not a party's words: it stays as it is
+    return Markup(text[text.index("<svg") :])  # drawn here, no text of a party: not escaped
 
 
 def write(folder, target) -> None:
--- a/molehill/fleet/shims.py
+++ b/molehill/fleet/shims.py
@@ -1,16 +1,17 @@
-"""A relay's machine with faults in it: a wall clock that is stepped, calls on sockets that fail, a disk that fails for a while.
+"""Injects faults of a machine into a relay: a stepped wall clock, failing socket calls or disk.
 
-The rig writes what is wrong now as JSON into a control file, by a rename; the relay's process looks at it every few milliseconds. So a
-fault goes on over the process's restarts until the rig ends it. Nothing but what the kernel documents is made to happen.
+The rig writes the faults in force as JSON into a control file, by a rename; the relay's process
+reads it every few milliseconds. So a fault outlasts restarts of the process until the rig ends it.
+Only failures that the kernel documents are injected.
 
 | key | meaning |
 | --- | --- |
-| `wall_ms` | the wall clock is off by so much |
+| `wall_ms` | offset of the wall clock in ms |
 | `accept` | errno that all these calls fail with |
 | `connect` | errno that half of these calls fail with, the first in any case |
-| `disk` | errno: a write takes half and then fails; files can't be made, cut off or renamed |
-| `slow_ms` | each write to the disk takes so long |
-| `files` | errno: plain writes go well; files can't be made, cut off or renamed |
+| `disk` | errno: a write takes half and then fails; files can't be created, truncated or renamed |
+| `slow_ms` | delay of each write to the disk in ms |
+| `files` | errno: plain writes succeed; files can't be created, truncated or renamed |
 """
 
 import errno
@@ -23,12 +24,15 @@
 from molehill.config import MS
 from molehill.runtime.kernel import Disk, Kernel
 
-CONTROL_POLL_INTERVAL = 5 * MS  # at the control file
-FAILURE_SHARES = {"accept": 1.0, "connect": 0.5}  # of these calls that fail
+CONTROL_POLL_INTERVAL = 5 * MS  # how often the control file is read
+FAILURE_SHARES = {"accept": 1.0, "connect": 0.5}  # share of these calls that fail
 
 
 class Control:
-    """What is wrong now. Each call that is made to fail says so once on standard error, where the relay's log lines go."""
+    """The faults in force, read from the control file.
+
+    Each failure of a call is reported once on standard error, where the relay's log lines go.
+    """
 
     def __init__(self, path: str):
         self.path, self.polled_at, self.stamp, self.wrong, self.said = path, 0, None, {}, set()
@@ -53,7 +57,7 @@
 
 
 def write_control(path, wrong: dict) -> None:
-    """For the rig: what is wrong from now on."""
+    """Used by the rig: replaces the faults in force."""
     new = f"{path}.new"
     with open(new, "w", encoding="utf-8") as file:
         json.dump(wrong, file)
@@ -85,7 +89,7 @@
         Disk.rename(old, new)
 
     def write(self, fd: int, data) -> int:
-        """Half of it at first, as a device does that fails in the middle, then the error."""
+        """Writes half of the data first, then fails, as a device does that fails in the middle."""
         time.sleep(self.control.now().get("slow_ms", 0) / 1000)
         if not self.control.now().get("disk"):
             self.half.discard(fd)
@@ -98,15 +102,15 @@
 
 
 class FailingCalls:
-    """Which calls on sockets fail now: the first after a fault has begun, then a drawn share."""
+    """Decides which socket calls fail: the first after a fault has begun, then a random share."""
 
     def __init__(self, control: Control, random: Random):
         self.control = control
         self.random = random
-        self.failing: dict[str, int] = {}  # errno of the fault that has met a call, by call
+        self.failing: dict[str, int] = {}  # call -> errno of the fault that has already failed one
 
     def error(self, call: str) -> int:
-        """The errno that this call of `call` fails with; 0: it is made."""
+        """Returns the errno that this call fails with, or 0 if it is to be made."""
         code = self.control.now().get(call) or 0
         first = code != self.failing.get(call, 0)
         self.failing[call] = code
@@ -119,7 +123,7 @@
 
 
 class FailingSocket(socket.socket):
-    calls: FailingCalls  # of the process; set by its machine
+    calls: FailingCalls  # those of the process, set by ShimmedKernel
 
     def accept(self):
         code = self.calls.error("accept")
--- a/molehill/fleet/show.py
+++ b/molehill/fleet/show.py
@@ -1,4 +1,7 @@
-"""The story of one callback, host, relay or span, out of a kept run: stand-ins' events and the relays' own log lines, in order."""
+"""Lists the events of one callback, host, relay or span of a run from its folder.
+
+These are the events of the stand-ins and the relays' own log lines, in order of time.
+"""
 
 import re
 
@@ -7,12 +10,12 @@
 from molehill.fleet import history
 from molehill.fleet.members import TIMESTAMP, log_rows
 
-# the rig's own bookkeeping
+# events for the rig itself
 HIDDEN_EVENTS = ("figures", "view", "traffic", "cpu", "lateness", "accepted", "held")
 
 
 def callback_names(told, word: str) -> set[str]:
-    """A callback is known by its program's number and by an id for each time it was handed in."""
+    """All names of a callback: its program's number and an id for each time it was submitted."""
     names = {word}
     for _, _, what, facts in told.rows:
         if what == "asked" and word in (facts["id"], facts["message"]):
@@ -21,7 +24,7 @@
 
 
 def event_lines(folder, about=(), first_ms=None, last_ms=None) -> list[str]:
-    """Lines that name one of `about` (all, if empty), within the span."""
+    """Returns lines that name one of `about` (all lines if it is empty) within the span."""
     told = history.read(folder)
     names = {name for word in about for name in callback_names(told, word)}
     patterns = [re.compile(rf"(?<![\w.-]){re.escape(name)}(?![\w-]|\.\d)") for name in names]
@@ -47,6 +50,6 @@
 
 
 def views(folder) -> list[dict]:
-    """What each relay that was up at the end believed of the others then."""
+    """Returns the view of the others that each relay had that was running at the end."""
     told = history.read(folder)
     return [facts["view"] for _, _, what, facts in [*told.rows, *told.rest] if what == "view"]
