--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,12 +1,16 @@
-"""The fleet rig: mutations found, the same day on both stages, how many relays a machine bears, a large fleet emulated.
+"""Measures the fleet rig.
 
-    python benchmarks/fleet.py mutations --seeds 8          # a row a mistake: the first drawn day that shows it, processes and emulated
-    python benchmarks/fleet.py stages --seeds 5           # docs/five.toml on both stages, service beside service
-    python benchmarks/fleet.py long --relays 16 --seconds 600    # one long run on processes with faults all along
-    python benchmarks/fleet.py most --relays 8 16 32 64   # the rate that N relays bear with the rig in time; processor time of both
-    python benchmarks/fleet.py words --relays 30 100 300  # emulated, relays that say small words to each other
+That is: mutations found, the same scenario on both stages, how many relays a machine carries, and a
+large fleet emulated.
 
-Out of CI. Processes, sockets and clocks are real, all other parties are stand-ins on the same cores.
+    python benchmarks/fleet.py mutations --seeds 8          # per mutation: the first drawn scenario that shows it, on both stages
+    python benchmarks/fleet.py stages --seeds 5           # docs/five.toml on both stages, service compared
+    python benchmarks/fleet.py long --relays 16 --seconds 600    # one long run on processes with faults throughout
+    python benchmarks/fleet.py most --relays 8 16 32 64   # the rate that N relays bear with the rig in time; CPU time of both
+    python benchmarks/fleet.py words --relays 30 100 300  # emulated, relays that send each other small datagrams
+
+Not run in CI. Processes, sockets and clocks are real; all other parties are stand-ins on the same
+cores.
 """
 
 import argparse
@@ -45,7 +49,7 @@
 from molehill.fleet.world import World
 
 FIVE = Path(__file__).parent.parent / "docs" / "five.toml"
-# Those of the emulator's that show in what crosses the wires; each with the faults that lead to it (weights of the drawn days)
+# The emulator's mutations that show in network traffic -> the weights of faults that lead to them
 OF_RELAYS = {
     "exclusive taken for rerunnable": {"vanished": 10, "silent": 10},
     "order of keys not kept": {"silent": 10},
@@ -62,7 +66,10 @@
 
 
 def first(mistake: str, seeds: int, stage: str, rig: bool):
-    """(seed, word, text) of the first day that shows it and is kept without it; None if none does."""
+    """Returns (seed, word, text) of the first scenario that shows the mutation, or None.
+
+    The scenario must be kept without it.
+    """
     for seed in range(1, seeds + 1):
         day = (
             cut_day(seed)
@@ -138,7 +145,10 @@
 
 
 def long_day(relays: int, seconds: int, rate: float) -> Scenario:
-    """A kill, a pause, a one-way cut, a restart, an upgrade and a slow way in turn, one every two seconds, each on the next relay."""
+    """Returns a scenario with a fault every two seconds, each on the next relay.
+
+    A kill, a pause, a one-way cut, a restart, an upgrade and a slow path take turns.
+    """
     faults = []
     for n, at in enumerate(range(2000, seconds * 1000 - 6000, 2000)):
         who = f"relay{n % relays}"
@@ -199,7 +209,7 @@
 
 
 def words(relays: int, seconds: int = 10) -> None:
-    """Each relay's machine says 100 bytes to three others a second, as a failure detector would."""
+    """Each relay's machine sends 100 bytes to three others a second, as a failure detector would."""
     run = Run(
         simple_scenario(
             relays=relays,
@@ -237,7 +247,10 @@
 
 
 def cables(many: int = 5000) -> None:
-    """Round trips of 100-byte datagrams: straight, through a cable process, and straight with the faults drawn in the sender's process."""
+    """Measures round trips of 100-byte datagrams.
+
+    They go directly, through a proxy process, and directly with the faults drawn in the sender.
+    """
     slot, held = claim_slot()
     scenario, address_plan = simple_scenario(relays=2), AddressPlan(slot)
     ends = []
@@ -247,7 +260,7 @@
         ends[n].settimeout(2)
     other = get_context("fork").Process(target=serve_cables, args=(scenario, slot), daemon=True)
     other.start()
-    # a measurement by hand: its first round trips are not counted either
+    # a fixed wait for the proxy's start suffices: the first round trips are not counted either
     time.sleep(0.5)
     doors = [(address_plan.membership(0, 1)[0], 8000), (address_plan.membership(1, 0)[0], 8000)]
     chance, row = Random(1), {}
@@ -278,7 +291,10 @@
 
 
 def flood(seeds: int, rate: float) -> None:
-    """The 99th percentile of delivery with forged datagrams at each of three relays, beside the same seed without, in turn."""
+    """Compares the 99th percentile of delivery with and without forged datagrams.
+
+    They are sent to each of three relays; runs of one seed with and without take turns.
+    """
     rows = []
     for seed in range(1, seeds + 1):
         pair = []
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,7 @@
-"""Several real relays under faults, the cables between them, and a checker that tells kept from unknown and void."""
+"""Tests several real relays under faults, and the proxies between them.
+
+The checker is tested, too: it must tell kept from unknown and void.
+"""
 
 import errno
 import os
@@ -42,7 +45,7 @@
 
 
 def test_five_relays_one_cut_one_way_one_paused_one_killed(tmp_path):
-    """Five processes, cables, a verdict: the landing that all else of the fleet stands on."""
+    """Five relay processes with proxies run to a verdict of kept, and each fault takes effect."""
     verdict = play.play(five(), "processes", tmp_path)
     if verdict["word"] == checker.VOID and words(verdict).get("rig in time") == checker.VOID:
         pytest.skip("the machine was late by more than the rig bears: this run shows nothing")
@@ -54,12 +57,13 @@
         row["count"] for row in hit
     )
     assert verdict["summary"]["starts"] == 6 and verdict["summary"]["delivered"] > 400
-    # The histories that were kept give the same word again, and a run in which nobody was late enough is not voided.
+    # Judging the stored histories again gives the same word, and a run in which no process was late
+    # enough is not voided.
     assert play.judge(tmp_path)["word"] == checker.KEPT
 
 
 def test_membership_of_five_relays_one_deaf_one_paused_one_killed(tmp_path):
-    """Membership in real processes: alone and lost in time, nobody lost for nothing, all agree again."""
+    """Real processes report alone and lost in time, nobody lost without cause, and agree again."""
     verdict = play.play(
         scenarios.load(FIVE.with_name("members.toml").read_text(encoding="utf-8")),
         "processes",
@@ -189,7 +193,7 @@
             time.sleep(0.02)
         children = there()
         assert len(children) == 9  # five relays, four stand-ins
-        os.kill(children[-1], signal.SIGSTOP)  # one that is paused must go, too
+        os.kill(children[-1], signal.SIGSTOP)  # a paused process must end, too
     finally:
         tool.kill()
         tool.wait()
@@ -210,7 +214,10 @@
     ],
 )
 def test_a_stall_of_one_relay_alone_is_its_own(stood, late_ms, alone):
-    """Danger: a loop that spins in a relay is taken for a busy machine, and the day that shows it for void."""
+    """Guards against a relay's own stall, as in a busy loop, being taken for a busy machine.
+
+    The run that shows it would then be void.
+    """
     assert (
         checker.stalled_alone(
             {f"relay{n}": ms for n, ms in enumerate(stood)},
@@ -222,7 +229,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_a_fault_that_few_calls_meet_shows_at_the_first(tmp_path, seed):
-    """Danger: a relay that opens two connections in a fault's span meets no fault at all."""
+    """Guards against failures so random that two connections in a fault's span meet none."""
     path = tmp_path / "wrong"
     write_control(path, {"connect": errno.EADDRNOTAVAIL})
     calls = FailingCalls(Control(str(path)), Random(seed))
@@ -233,7 +240,10 @@
 
 
 def test_faults_of_their_machines_reach_relays_that_are_processes(tmp_path):
-    """Each of four, one with a kill in it: it was there, and the rules hold. A run in which the machine was late shows nothing."""
+    """Four faults of a machine, one with a kill in it, take effect, and the rules hold.
+
+    A run in which the machine was late shows nothing and is repeated.
+    """
     faults = [
         Fault("accept_error", 500, "relay1", 800, 103.0),
         Fault("disk_error", 600, "relay0", 5000, 5.0),
@@ -253,18 +263,18 @@
     assert "accept fails" in said[1] and "connect fails" in said[2]
 
 
-# Cables
+# Proxies
 
 
 class ProxyHarness:
-    """A cable process's inside, with two relays' sockets at its ends and no script but the test's."""
+    """The proxies of a run in this process, with two relays' sockets and the test as the script."""
 
     def __init__(self, *faults):
         self.scenario = simple_scenario(relays=2, faults=list(faults))
         self.slot, self.claim = claim_slot()
         self.world, address_plan = World("cables", 1), AddressPlan(self.slot)
         self.network, self.script = Network(self.world, ["relay0", "relay1"]), Run(self.scenario)
-        self.script.world = self.world  # what lies over what ends on the real clock here
+        self.script.world = self.world  # overlapping faults end on the real clock here
         self.cables = Proxies(
             self.world,
             self.network,
@@ -300,7 +310,7 @@
             except BlockingIOError:
                 return found
             found.append(data)
-            # it answers there, and the answer goes through the cable
+            # an answer to this address goes through the proxy
             assert address == self.doors[n]
 
     def close(self):
@@ -371,7 +381,10 @@
 
 
 def test_proxy_events_belong_to_the_right_connection_of_one_port():
-    """Danger: one port of the cable's leads to two hosts; that a relay hung up on one was taken for both, and an answer for none."""
+    """Guards against mixing up connections of one port of the proxy to two hosts.
+
+    A relay's hang-up on one was taken for both, and an answer for none.
+    """
     ends = [connection_name(("127.0.0.1", 40000), (f"127.9.1{n}.1", 8081)) for n in (0, 1)]
     rows = [
         (n, f"h1-{n}", "accepted", dict(conn=f"hosts-{n}", peer=peer))
@@ -379,7 +392,7 @@
     ]
     rows += [
         (5 * MS, "cables", "held", dict(peer=ends[0], span=3 * MS)),
-        # its loop woke late: written at 2, and no later
+        # the host's loop woke late: the call was written at 2, no later
         (9 * MS, "h1-0", "call", dict(conn="hosts-0", since=8 * MS)),
         (10 * MS, "h1-1", "call", dict(conn="hosts-1", since=9 * MS)),
         (11 * MS, "h1-0", "call", dict(conn="hosts-0", since=10 * MS)),
@@ -394,7 +407,7 @@
 
 
 def one_call(*more, doubt=0, **call):
-    """A history of one callback: asked for at 0, taken on, called at 10 ms."""
+    """A history of one callback: asked for at 0, accepted, called at 10 ms."""
     at = lambda ms: START + ms * MS  # noqa: E731
     rows = [
         (at(0), "program0", "wants", dict(message="a", category="refund")),
@@ -458,7 +471,11 @@
     [(0, 35, checker.BROKEN), (50 * MS, 35, checker.KEPT), (50 * MS, 95, checker.BROKEN)],
 )
 def test_two_at_once_are_told_from_a_hang_up_that_was_seen_late(doubt, over_ms, word):
-    """Danger: hosts are processes of their own; one sees the next call before another sees that the first is given up."""
+    """Guards against a false finding of two calls at once.
+
+    Hosts are separate processes: one may see the next call before another sees that the first was
+    given up.
+    """
     rows = [
         (10, "h1-0", "call", called("1", "h1-0", 1)),
         (30, "h1-1", "call", called("2", "h1-1", 2)),
