--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -43,14 +43,14 @@
 from molehill.fleet.addresses import AddressPlan, claim_slot
 from molehill.fleet.compare import confidence_interval
 from molehill.fleet.conductor import cpu_seconds
-from molehill.fleet.mutations import MUTATIONS as OF_THE_RIG
+from molehill.fleet.mutations import MUTATIONS as RIG_MUTATIONS
 from molehill.fleet.proxy import Proxies
 from molehill.fleet.sockets import Network
 from molehill.fleet.world import World
 
 FIVE = Path(__file__).parent.parent / "docs" / "five.toml"
 # The emulator's mutations that show in network traffic -> the weights of faults that lead to them
-OF_RELAYS = {
+RELAY_MUTATIONS = {
     "exclusive taken for rerunnable": {"vanished": 10, "silent": 10},
     "order of keys not kept": {"silent": 10},
     "launch not logged": {"kill": 40},
@@ -65,18 +65,18 @@
 }
 
 
-def first(mistake: str, seeds: int, stage: str, rig: bool):
+def first_exposing_seed(mistake: str, seeds: int, stage: str, rig: bool):
     """Returns (seed, word, text) of the first scenario that shows the mutation, or None.
 
     The scenario must be kept without it.
     """
     for seed in range(1, seeds + 1):
-        day = (
-            cut_day(seed)
+        scenario = (
+            cut_scenario(seed)
             if rig
-            else generator.draw_scenario(seed, path_faults=0, weights=OF_RELAYS[mistake])
+            else generator.draw_scenario(seed, path_faults=0, weights=RELAY_MUTATIONS[mistake])
         )
-        verdict = play.play(day, stage, **{"rig_mistake" if rig else "mistake": mistake})
+        verdict = play.play(scenario, stage, **{"rig_mistake" if rig else "mistake": mistake})
         rows = [
             row
             for row in verdict["findings"]
@@ -85,21 +85,23 @@
         if (
             rows
             and (rig or "rule 4" not in rows[0]["text"])
-            and play.play(day, stage)["word"] in (("kept",) if rig else ("kept", "void"))
+            and play.play(scenario, stage)["word"] in (("kept",) if rig else ("kept", "void"))
         ):
             return seed, rows[0]["word"], rows[0]["property"], rows[0]["text"][:90]
     return None
 
 
-def cut_day(seed: int) -> Scenario:
+def cut_scenario(seed: int) -> Scenario:
     return play.with_seed(scenarios.load(FIVE.read_text(encoding="utf-8")), seed)
 
 
 def mutations(seeds: int, jobs: int = 2) -> None:
     todo = [
-        (name, seeds, stage, False) for name in OF_RELAYS for stage in ("emulated", "processes")
+        (name, seeds, stage, False)
+        for name in RELAY_MUTATIONS
+        for stage in ("emulated", "processes")
     ]
-    todo += [(name, seeds, "processes", True) for name in OF_THE_RIG]
+    todo += [(name, seeds, "processes", True) for name in RIG_MUTATIONS]
     with get_context("spawn").Pool(jobs, maxtasksperchild=1) as pool:
         for name, stage, found in pool.imap_unordered(one, todo):
             print(
@@ -109,13 +111,13 @@
 
 
 def one(job):
-    return job[0], job[2], first(*job)
+    return job[0], job[2], first_exposing_seed(*job)
 
 
-def stages(seeds: int) -> None:
+def compare_stages(seeds: int) -> None:
     rows = []
     for seed in range(1, seeds + 1):
-        rows.append([play.play(cut_day(seed), stage) for stage in ("emulated", "processes")])
+        rows.append([play.play(cut_scenario(seed), stage) for stage in ("emulated", "processes")])
     gaps = [a["summary"]["service"] - b["summary"]["service"] for a, b in rows]
     print(
         f"{seeds} seeds of {FIVE.name}: emulated {[r[0]['word'] for r in rows]}, processes {[r[1]['word'] for r in rows]}; service emulated less "
@@ -123,7 +125,7 @@
     )
 
 
-def large(relays: int, seconds: int, rate: float, faults=()) -> Scenario:
+def large_scenario(relays: int, seconds: int, rate: float, faults=()) -> Scenario:
     rows = [
         Category("status", "deduplicated", 5000, ordered=True, window_ms=2500),
         Category("rate", "idempotent", 3000),
@@ -144,7 +146,7 @@
     )
 
 
-def long_day(relays: int, seconds: int, rate: float) -> Scenario:
+def long_scenario(relays: int, seconds: int, rate: float) -> Scenario:
     """Returns a scenario with a fault every two seconds, each on the next relay.
 
     A kill, a pause, a one-way cut, a restart, an upgrade and a slow path take turns.
@@ -162,12 +164,12 @@
                 Fault("delay", at, f"hosts>{who}", 1500, 100.0),
             ][n % 6]
         )
-    return large(relays, seconds, rate, faults)
+    return large_scenario(relays, seconds, rate, faults)
 
 
-def long(relays: int, seconds: int, rate: float) -> None:
+def measure_long_run(relays: int, seconds: int, rate: float) -> None:
     with TemporaryDirectory() as folder:
-        verdict = play.play(long_day(relays, seconds, rate), "processes", folder)
+        verdict = play.play(long_scenario(relays, seconds, rate), "processes", folder)
         told = history.read(folder)
         print(
             json.dumps(
@@ -184,10 +186,12 @@
         )
 
 
-def most(relays: int, rate: float) -> None:
+def measure_capacity(relays: int, rate: float) -> None:
     with TemporaryDirectory() as folder:
         verdict = play.play(
-            large(relays, 10, rate, [Fault("freeze", 3000, "relay0", 500)]), "processes", folder
+            large_scenario(relays, 10, rate, [Fault("freeze", 3000, "relay0", 500)]),
+            "processes",
+            folder,
         )
         told = history.read(folder)
         costs = figures.costs(told)
@@ -208,7 +212,7 @@
         )
 
 
-def words(relays: int, seconds: int = 10) -> None:
+def emulate_datagrams(relays: int, seconds: int = 10) -> None:
     """Each relay's machine sends 100 bytes to three others a second, as a failure detector would."""
     run = Run(
         simple_scenario(
@@ -221,32 +225,32 @@
             ],
         )
     )
-    heard = [0]
+    received_count = [0]
     boxes = []
     for n, node in enumerate(run.nodes.values()):
         box = Datagrams(run.network, node.machine)
         box.bind((f"10.0.{n // 250 + 1}.{n % 250 + 1}", 7000))
-        box.came = lambda *_: heard.__setitem__(0, heard[0] + 1)
+        box.came = lambda *_: received_count.__setitem__(0, received_count[0] + 1)
         boxes.append(box)
 
-    def say(box) -> None:
+    def send_datagrams(box) -> None:
         for other in run.world.chance.sample(boxes, 3):
             box.sendto(b"." * 100, other.address)
-        run.world.after(SECOND, say, box)
+        run.world.after(SECOND, send_datagrams, box)
 
     for box in boxes:
-        run.world.after(run.world.chance.randrange(SECOND), say, box)
+        run.world.after(run.world.chance.randrange(SECOND), send_datagrams, box)
     began = time.perf_counter()
     verdict = run.play()
     took = time.perf_counter() - began
     print(
         f"{relays} relays: {'kept' if verdict['ok'] else verdict['failure']}, {verdict['virtual_s'] / took:.2f} virtual seconds a second, "
-        f"{heard[0]} words heard, {heard[0] / relays:.1f} a relay, {resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024} MB",
+        f"{received_count[0]} words heard, {received_count[0] / relays:.1f} a relay, {resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024} MB",
         flush=True,
     )
 
 
-def cables(many: int = 5000) -> None:
+def measure_proxy(many: int = 5000) -> None:
     """Measures round trips of 100-byte datagrams.
 
     They go directly, through a proxy process, and directly with the faults drawn in the sender.
@@ -258,11 +262,14 @@
         ends.append(socket.socket(socket.AF_INET, socket.SOCK_DGRAM))
         ends[n].bind((address_plan.relay(n)[0], 7000))
         ends[n].settimeout(2)
-    other = get_context("fork").Process(target=serve_cables, args=(scenario, slot), daemon=True)
+    other = get_context("fork").Process(target=serve_proxies, args=(scenario, slot), daemon=True)
     other.start()
     # a fixed wait for the proxy's start suffices: the first round trips are not counted either
     time.sleep(0.5)
-    doors = [(address_plan.membership(0, 1)[0], 8000), (address_plan.membership(1, 0)[0], 8000)]
+    proxy_addresses = [
+        (address_plan.membership(0, 1)[0], 8000),
+        (address_plan.membership(1, 0)[0], 8000),
+    ]
     chance, row = Random(1), {}
 
     def trips(there, back, drawn=False):
@@ -279,7 +286,7 @@
 
     for name, there, back, drawn in (
         ("straight", ends[1].getsockname(), ends[0].getsockname(), False),
-        ("through a cable", *doors, False),
+        ("through a cable", *proxy_addresses, False),
         ("drawn in the process", ends[1].getsockname(), ends[0].getsockname(), True),
     ):
         took = trips(there, back, drawn)
@@ -290,7 +297,7 @@
     print(f"round trip: {row}; a cable's own processor time a datagram: {spent:.0f} us")
 
 
-def flood(seeds: int, rate: float) -> None:
+def measure_flood(seeds: int, rate: float) -> None:
     """Compares the 99th percentile of delivery with and without forged datagrams.
 
     They are sent to each of three relays; runs of one seed with and without take turns.
@@ -299,14 +306,16 @@
     for seed in range(1, seeds + 1):
         pair = []
         for worth in (rate, 1.0)[:: 1 if seed % 2 else -1]:
-            day = play.with_seed(
-                large(
+            scenario = play.with_seed(
+                large_scenario(
                     3, 8, 120.0, [Fault("flood", 500, f"relay{n}", 7000, worth) for n in range(3)]
                 ),
                 seed,
             )
             with TemporaryDirectory() as folder:
-                verdict = play.play(structs.replace(day, fleet=FleetPlan()), "processes", folder)
+                verdict = play.play(
+                    structs.replace(scenario, fleet=FleetPlan()), "processes", folder
+                )
                 pair.append((worth, figures.delivery(history.read(folder)), verdict["word"]))
         rows.append(sorted(pair, key=lambda row: -row[0]))
     for name in ("p50", "p99"):
@@ -318,7 +327,7 @@
         )
 
 
-def serve_cables(scenario, slot: int) -> None:
+def serve_proxies(scenario, slot: int) -> None:
     world = World("cables", 1)
     Proxies(
         world,
@@ -344,13 +353,15 @@
     if given.what == "mutations":
         mutations(given.seeds, given.jobs)
     elif given.what == "stages":
-        stages(given.seeds)
+        compare_stages(given.seeds)
     elif given.what == "flood":
-        flood(given.seeds, given.rate)
+        measure_flood(given.seeds, given.rate)
     elif given.what == "cables":
-        cables()
+        measure_proxy()
     elif given.what == "long":
-        long(given.relays[0], given.seconds, given.rate)
+        measure_long_run(given.relays[0], given.seconds, given.rate)
     else:
         for count in given.relays:
-            most(count, given.rate) if given.what == "most" else words(count)
+            measure_capacity(count, given.rate) if given.what == "most" else emulate_datagrams(
+                count
+            )
--- a/molehill/fleet/conductor.py
+++ b/molehill/fleet/conductor.py
@@ -218,13 +218,13 @@
         if process is self.owner:
             self.run.tell_parties(self.name, "ready", life=process.number)
             return
-        before, self.owner = self.owner, process
+        previous, self.owner = self.owner, process
         self.world.tell(self.name, "took over", life=process.number)
         self.handed_over()
-        if before.child.poll() is None:
-            before.state, before.wanted = ENDING, True
-            before.child.send_signal(signal.SIGTERM)
-            self.world.after(TERMINATION_TIMEOUT, self.run.end_child, before.child)
+        if previous.child.poll() is None:
+            previous.state, previous.wanted = ENDING, True
+            previous.child.send_signal(signal.SIGTERM)
+            self.world.after(TERMINATION_TIMEOUT, self.run.end_child, previous.child)
 
     def handle_exit(self, process) -> None:
         """Records a process that has ended, and restarts the relay if none is left."""
@@ -268,7 +268,7 @@
         return kept.name
 
     def restart_if_gone(self) -> None:
-        if not self.processes and not self.run.over:
+        if not self.processes and not self.run.finished:
             self.start()
 
     # Faults
@@ -325,7 +325,13 @@
         )
         self.prepare()
         self.folder.mkdir(parents=True, exist_ok=True)
-        self.children, self.parties, self.over, self.platform, self.hosts = [], {}, False, None, {}
+        self.children, self.parties, self.finished, self.platform, self.hosts = (
+            [],
+            {},
+            False,
+            None,
+            {},
+        )
         self.slot, self.claim = claim_slot()
         self.address_plan, names = (
             AddressPlan(self.slot),
@@ -460,7 +466,7 @@
     def check_parties(self) -> None:
         """Raises RigError if a stand-in has ended by itself."""
         for role, child in self.parties.items():
-            if child.poll() is not None and not self.over:
+            if child.poll() is not None and not self.finished:
                 raise RigError(
                     f"stand-in {role} ended by itself with {child.returncode}: see {role}.log"
                 )
@@ -530,7 +536,7 @@
 
     def end_all(self) -> None:
         """Ends all children, waits for them, and closes what the run has open."""
-        self.over = True
+        self.finished = True
         self.world.tell("conductor", "lateness", most=self.world.max_lateness)
         self.world.tell("conductor", "cpu", spent=time.process_time())
         for role, child in self.parties.items():
--- a/molehill/fleet/figures.py
+++ b/molehill/fleet/figures.py
@@ -16,19 +16,19 @@
 
     In ms, from the time at which a callback is due at its program to its host's answer.
     """
-    born, of, seen = {}, {}, set()
+    due_at, message_by_id, seen = {}, {}, set()
     row = HdrHistogram(LEAST_US, MOST_US, DIGITS)
     for now, who, what, facts in history.rows:
         if what == "wants":
-            born[facts["message"]] = now
+            due_at[facts["message"]] = now
         elif what == "asked" and facts["message"] is not None:
-            of[facts["id"]] = facts["message"]
+            message_by_id[facts["id"]] = facts["message"]
         elif what == "call answered" and facts["status"] == 200:
             for ident in facts["ids"]:
-                message = of.get(ident)
-                if message in born and message not in seen:
+                message = message_by_id.get(ident)
+                if message in due_at and message not in seen:
                     seen.add(message)
-                    row.record_value(max(LEAST_US, (now - born[message]) // 1000))
+                    row.record_value(max(LEAST_US, (now - due_at[message]) // 1000))
     return {
         "count": row.get_total_count(),
         **{
@@ -40,17 +40,17 @@
 
 def by_second(history) -> list[tuple[int, int, int]]:
     """Returns (second, callbacks that came due in it, how many of those were delivered)."""
-    born, of, rows, seen = {}, {}, defaultdict(lambda: [0, 0]), set()
+    due_at, message_by_id, rows, seen = {}, {}, defaultdict(lambda: [0, 0]), set()
     for now, who, what, facts in history.rows:
         if what == "wants":
-            born[facts["message"]] = (now - START) // SECOND
-            rows[born[facts["message"]]][0] += 1
+            due_at[facts["message"]] = (now - START) // SECOND
+            rows[due_at[facts["message"]]][0] += 1
         elif what == "asked" and facts["message"] is not None:
-            of[facts["id"]] = facts["message"]
+            message_by_id[facts["id"]] = facts["message"]
         elif what == "call answered" and facts["status"] == 200:
-            for message in {of.get(ident) for ident in facts["ids"]} - seen - {None}:
+            for message in {message_by_id.get(ident) for ident in facts["ids"]} - seen - {None}:
                 seen.add(message)
-                rows[born[message]][1] += 1
+                rows[due_at[message]][1] += 1
     return [(second, *rows[second]) for second in sorted(rows)]
 
 
--- a/molehill/fleet/proxy.py
+++ b/molehill/fleet/proxy.py
@@ -178,10 +178,10 @@
     """A connection through the proxy, from the party that connected to the one that it was for."""
 
     def __init__(
-        self, cables, near: Sock, outbound: Direction, inbound: Direction, address, bound=None
+        self, proxies, near: Sock, outbound: Direction, inbound: Direction, address, bound=None
     ):
         (
-            self.cables,
+            self.proxies,
             self.world,
             self.near,
             self.outbound,
@@ -189,15 +189,15 @@
             self.address,
             self.bound,
         ) = (
-            cables,
-            cables.world,
+            proxies,
+            proxies.world,
             near,
             outbound,
             inbound,
             address,
             bound,
         )
-        network, machine = cables.network, cables.machine
+        network, machine = proxies.network, proxies.machine
         self.peer = None  # the name of the connection at the far end, once it is established there
         self.far = Sock(network, machine, socket.socket(socket.AF_INET, socket.SOCK_STREAM))
         self.outbound_pipe = Pipe(outbound, near, self.far, self.record_delay)
@@ -279,22 +279,25 @@
             if party in relays:
                 self.add_relay_proxies(relays[relay], relays[party], relay, party)
             else:
-                door, port = address_for(bases[party], relays[relay])
+                listen_address, port = address_for(bases[party], relays[relay])
                 moves = sum(fault.kind == "move" for fault in scenario.faults)
                 for port_now in range(port, port + 1 + (moves if party == "platform" else 0)):
                     self.add_stream_proxy(
-                        relay, party, (door, port_now + PROXY_PORT_OFFSET), (door, port_now)
+                        relay,
+                        party,
+                        (listen_address, port_now + PROXY_PORT_OFFSET),
+                        (listen_address, port_now),
                     )
 
     def direction(self, a: str, b: str) -> Direction:
         return self.directions.setdefault((a, b), Direction(self.world))
 
-    def add_stream_proxy(self, a: str, b: str, door, address, bound=None) -> None:
+    def add_stream_proxy(self, a: str, b: str, listen_address, address, bound=None) -> None:
         outbound, inbound = self.direction(a, b), self.direction(b, a)
         Listener(
             self.network,
             self.machine,
-            [(a, door)],
+            [(a, listen_address)],
             lambda sock: ProxiedConnection(self, sock, outbound, inbound, address, bound),
         )
 
@@ -304,13 +307,15 @@
         Datagrams are sent on from the address at which b finds a, so that b can answer.
         """
         address = self.address_plan.relay(b)[0], MEMBERSHIP_PORT
-        (door, port), (other, _) = (
+        (listen_address, port), (other, _) = (
             self.address_plan.membership(a, b),
             self.address_plan.membership(b, a),
         )
-        self.add_stream_proxy(from_a, to_b, (door, port + PROXY_PORT_OFFSET), address, (other, 0))
+        self.add_stream_proxy(
+            from_a, to_b, (listen_address, port + PROXY_PORT_OFFSET), address, (other, 0)
+        )
         near_socket, direction = (
-            self.datagram_socket((door, port + PROXY_PORT_OFFSET)),
+            self.datagram_socket((listen_address, port + PROXY_PORT_OFFSET)),
             self.direction(from_a, to_b),
         )
         far_socket = self.datagram_socket((other, port + PROXY_PORT_OFFSET))
@@ -363,16 +368,16 @@
             )
             self.world.after(span, self.record_effect, fault, direction, before)
 
-    def flood(self, fault, address, door, started_at: int, sent_count: int) -> None:
+    def flood(self, fault, address, sender, started_at: int, sent_count: int) -> None:
         """Sends forged datagrams: valid version and size, random key byte, no valid signature."""
         past = min(self.world.now - started_at, fault.span_ms * MS)
         for _ in range(min(MAX_FLOOD_PER_TURN, int(past * fault.worth / SECOND) - sent_count)):
-            door.send(b"\x01" + self.world.chance.randbytes(200), address)
+            sender.send(b"\x01" + self.world.chance.randbytes(200), address)
             sent_count += 1
         if past < fault.span_ms * MS:
-            self.world.after(MS, self.flood, fault, address, door, started_at, sent_count)
+            self.world.after(MS, self.flood, fault, address, sender, started_at, sent_count)
         else:
-            door.sock.close()
+            sender.sock.close()
             self.world.tell(
                 "cables",
                 "cable did",
--- a/molehill/fleet/shims.py
+++ b/molehill/fleet/shims.py
@@ -35,11 +35,11 @@
     """
 
     def __init__(self, path: str):
-        self.path, self.polled_at, self.stamp, self.wrong, self.said = path, 0, None, {}, set()
+        self.path, self.polled_at, self.stamp, self.faults, self.reported = path, 0, None, {}, set()
 
-    def say(self, call: str, code: int) -> None:
-        if (call, code) not in self.said:
-            self.said.add((call, code))
+    def report(self, call: str, code: int) -> None:
+        if (call, code) not in self.reported:
+            self.reported.add((call, code))
             os.write(2, f"shim: {call} fails with {errno.errorcode[code]}\n".encode())
 
     def now(self) -> dict:
@@ -50,17 +50,17 @@
                 stamp = os.stat(self.path).st_mtime_ns
                 if stamp != self.stamp:
                     with open(self.path, encoding="utf-8") as file:
-                        self.wrong, self.stamp = json.load(file), stamp
+                        self.faults, self.stamp = json.load(file), stamp
             except FileNotFoundError:
                 pass
-        return self.wrong
+        return self.faults
 
 
-def write_control(path, wrong: dict) -> None:
+def write_control(path, faults: dict) -> None:
     """Used by the rig: replaces the faults in force."""
     new = f"{path}.new"
     with open(new, "w", encoding="utf-8") as file:
-        json.dump(wrong, file)
+        json.dump(faults, file)
     os.rename(new, path)
 
 
@@ -69,11 +69,11 @@
         self.control, self.half = control, set()
 
     def check(self, what: str, *keys: str) -> None:
-        wrong = self.control.now()
+        faults = self.control.now()
         for key in keys:
-            if wrong.get(key):
-                self.control.say(what, wrong[key])
-                raise OSError(wrong[key], what)
+            if faults.get(key):
+                self.control.report(what, faults[key])
+                raise OSError(faults[key], what)
 
     def open(self, path: str, truncate: bool = False) -> int:
         if truncate:
@@ -118,7 +118,7 @@
             return 0
         if not first and self.random.random() >= FAILURE_SHARES[call]:
             return 0
-        self.control.say(call, code)
+        self.control.report(call, code)
         return code
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -275,7 +275,7 @@
         self.world, address_plan = World("cables", 1), AddressPlan(self.slot)
         self.network, self.script = Network(self.world, ["relay0", "relay1"]), Run(self.scenario)
         self.script.world = self.world  # overlapping faults end on the real clock here
-        self.cables = Proxies(
+        self.proxies = Proxies(
             self.world,
             self.network,
             self.scenario,
@@ -288,14 +288,14 @@
             sock.bind((address_plan.relay(n)[0], 7000))
             sock.setblocking(False)
             self.ends.append(sock)
-        self.doors = [
+        self.proxy_addresses = [
             (address_plan.membership(0, 1)[0], 8000),
             (address_plan.membership(1, 0)[0], 8000),
         ]
         self.world.begin(time.monotonic_ns())
 
     def send(self, n, data):
-        self.ends[n].sendto(data, self.doors[n])
+        self.ends[n].sendto(data, self.proxy_addresses[n])
 
     def run_for(self, span_ms=30):
         until = self.world.now + span_ms * MS
@@ -311,12 +311,12 @@
                 return found
             found.append(data)
             # an answer to this address goes through the proxy
-            assert address == self.doors[n]
+            assert address == self.proxy_addresses[n]
 
     def close(self):
         for sock in (
             *self.ends,
-            *(door.sock for door in self.cables.datagram_sockets.values()),
+            *(door.sock for door in self.proxies.datagram_sockets.values()),
             self.claim,
         ):
             sock.close()
@@ -340,7 +340,7 @@
 
 def test_a_cut_of_one_direction_leaves_the_other_and_counts_what_it_took(wire):
     w = wire()
-    w.cables.start_fault(w.script, Fault("cut", 0, "relay0>relay1", 40))
+    w.proxies.start_fault(w.script, Fault("cut", 0, "relay0>relay1", 40))
     for n in (0, 1):
         w.send(n, b"in the cut")
     w.run_for(20)
@@ -348,7 +348,7 @@
     w.run_for(40)
     w.send(0, b"after it")
     w.run_for()
-    assert w.received(1) == [b"after it"] and w.cables.direction("relay0", "relay1").counts == {
+    assert w.received(1) == [b"after it"] and w.proxies.direction("relay0", "relay1").counts == {
         "cut": 1
     }
 
@@ -371,13 +371,13 @@
 )
 def test_proxy_faults_on_datagrams(wire, kind, worth, check):
     w, said = wire(), [b"%04d" % n for n in range(20)]
-    w.cables.start_fault(w.script, Fault(kind, 0, "relay0>relay1", 60, worth))
+    w.proxies.start_fault(w.script, Fault(kind, 0, "relay0>relay1", 60, worth))
     for data in said:
         w.send(0, data)
     w.run_for(150)
     heard = w.received(1)
     assert check(said, heard), heard
-    assert w.cables.direction("relay0", "relay1").counts[kind] > 0
+    assert w.proxies.direction("relay0", "relay1").counts[kind] > 0
 
 
 def test_proxy_events_belong_to_the_right_connection_of_one_port():
