--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -92,10 +92,12 @@
 
 
 def cut_scenario(seed: int) -> Scenario:
+    """Returns docs/five.toml with another seed."""
     return play.with_seed(scenarios.load(FIVE.read_text(encoding="utf-8")), seed)
 
 
 def mutations(seeds: int, jobs: int = 2) -> None:
+    """Prints for each mutation the first seed that shows it, on each stage."""
     todo = [
         (name, seeds, stage, False)
         for name in RELAY_MUTATIONS
@@ -115,6 +117,7 @@
 
 
 def compare_stages(seeds: int) -> None:
+    """Prints verdicts and the difference in service between the stages."""
     rows = []
     for seed in range(1, seeds + 1):
         rows.append([play.play(cut_scenario(seed), stage) for stage in ("emulated", "processes")])
@@ -126,6 +129,7 @@
 
 
 def large_scenario(relays: int, seconds: int, rate: float, faults=()) -> Scenario:
+    """Returns a scenario of that many relays and callbacks per second, with eight hosts."""
     rows = [
         Category("status", "deduplicated", 5000, ordered=True, window_ms=2500),
         Category("rate", "idempotent", 3000),
@@ -168,6 +172,7 @@
 
 
 def measure_long_run(relays: int, seconds: int, rate: float) -> None:
+    """Prints verdict, service and delivery latency of one long run on processes."""
     with TemporaryDirectory() as folder:
         verdict = play.play(long_scenario(relays, seconds, rate), "processes", folder)
         told = history.read(folder)
@@ -187,6 +192,7 @@
 
 
 def measure_capacity(relays: int, rate: float) -> None:
+    """Prints lateness, service and CPU time of a run of 10 s with so many relays at that rate."""
     with TemporaryDirectory() as folder:
         verdict = play.play(
             large_scenario(relays, 10, rate, [Fault("freeze", 3000, "relay0", 500)]),
@@ -213,7 +219,10 @@
 
 
 def emulate_datagrams(relays: int, seconds: int = 10) -> None:
-    """Each relay's machine sends 100 bytes to three others a second, as a failure detector would."""
+    """Emulates relays whose machines each send 100 bytes to three others a second.
+
+    A failure detector would send as much.
+    """
     run = Run(
         simple_scenario(
             relays=relays,
@@ -328,6 +337,7 @@
 
 
 def serve_proxies(scenario, slot: int) -> None:
+    """Runs the proxies between two relays in this process."""
     world = World("cables", 1)
     Proxies(
         world,
--- a/molehill/fleet/generator.py
+++ b/molehill/fleet/generator.py
@@ -29,6 +29,10 @@
 def draw_scenario(
     seed: int, relays: int = 3, span_ms: int = 5000, path_faults: int = 2, weights=None
 ) -> Scenario:
+    """Draws a scenario with up to `path_faults` faults on network paths.
+
+    `weights` override FAULT_WEIGHTS by kind of fault.
+    """
     made = generator.make(seed, {**FAULT_WEIGHTS, **(weights or {})}, span_ms, relays)
     chance = Random(f"ways {seed}")
     hosts = [f"h{e.destination}-{n}" for e in made.endpoints for n in range(e.hosts)]
--- a/molehill/fleet/report.py
+++ b/molehill/fleet/report.py
@@ -38,6 +38,7 @@
 
 
 def render_svg(draw, height: float = 2.6):
+    """Returns the plot that `draw(axes)` makes as SVG markup."""
     figure, axes = pyplot.subplots(figsize=(9, height))
     draw(axes)
     figure.tight_layout()
--- a/molehill/fleet/shims.py
+++ b/molehill/fleet/shims.py
@@ -38,11 +38,13 @@
         self.path, self.polled_at, self.stamp, self.faults, self.reported = path, 0, None, {}, set()
 
     def report(self, call: str, code: int) -> None:
+        """Writes a line about the first failure of this call with this errno."""
         if (call, code) not in self.reported:
             self.reported.add((call, code))
             os.write(2, f"shim: {call} fails with {errno.errorcode[code]}\n".encode())
 
     def now(self) -> dict:
+        """Returns the faults in force; reads the file again if it has changed."""
         at = time.monotonic_ns()
         if at - self.polled_at >= CONTROL_POLL_INTERVAL:
             self.polled_at = at
@@ -65,10 +67,13 @@
 
 
 class FailingDisk(Disk):
+    """A disk whose operations fail as the control file says."""
+
     def __init__(self, control: Control):
         self.control, self.half = control, set()
 
     def check(self, what: str, *keys: str) -> None:
+        """Raises OSError if one of the faults `keys` is in force."""
         faults = self.control.now()
         for key in keys:
             if faults.get(key):
@@ -123,6 +128,11 @@
 
 
 class FailingSocket(socket.socket):
+    """A TCP socket whose accept and connect fail as `calls` decides.
+
+    EINTR leaves the connection in progress, as the kernel does; other errors make no call.
+    """
+
     calls: FailingCalls  # those of the process, set by ShimmedKernel
 
     def accept(self):
@@ -140,7 +150,7 @@
 
 
 class ShimmedKernel(Kernel):
-    """`path`: the control file; `clock`, `wall_clock` as of Kernel."""
+    """A kernel with faults. `path`: the control file; `clock`, `wall_clock`: as for Kernel."""
 
     def __init__(self, path: str, clock=None, wall_clock=None):
         super().__init__(clock, wall_clock)
--- a/molehill/fleet/sockets.py
+++ b/molehill/fleet/sockets.py
@@ -70,6 +70,8 @@
 
 
 class Network:
+    """The sockets of one process of the rig, by machine."""
+
     def __init__(self, world, relays, proxied=()):
         """`relays`: names in order of their numbers; `proxied`: (relay, party) with a proxy."""
         self.world, self.relays, self.proxied = world, list(relays), set(proxied)
@@ -109,6 +111,8 @@
 
 
 class Listener:
+    """Listening sockets of a party, one for each relay; `accepted(sock)` gets each connection."""
+
     def __init__(self, network, machine, rows, accepted):
         """`rows`: (name of the party that connects there, address)."""
         self.network, self.world, self.machine, self.accepted, self.listening_sockets = (
