--- a/molehill/emulator/__init__.py
+++ b/molehill/emulator/__init__.py
@@ -1,5 +1,6 @@
-"""Whole relays on a virtual clock against stand-ins for all other parties, with faults scripted from a seed.
+"""Run whole relays on a virtual clock, with stand-ins for all other parties and scripted faults.
 
-Handed: a scenario (plain data, `scenario.py`). Handed back: a verdict (`run.py`): rules broken, service, a digest of every
-event. One thread, one seed, one clock; nothing here reads the machine that it runs on.
+A scenario (plain data, `scenario.py`) goes in; a verdict comes out (`run.py`): the rules that were
+broken, the service, and a digest of every event. There is one thread, one seed and one clock, and
+nothing here reads the machine on which it runs.
 """
--- a/molehill/emulator/node.py
+++ b/molehill/emulator/node.py
@@ -1,7 +1,8 @@
-"""One relay's machine: its disk, its place in the network, and its processes: started, told to end, killed, frozen.
+"""One relay's machine: its disk, its place in the network, and its processes.
 
-The relay's own code runs unchanged in greenlets (`process.py`), one a process; a poller gives the clock back to the world. A killed
-one is never resumed: whatever it was in the middle of stays undone. Two at once are an upgrade; from outside they are one relay.
+The relay's own code runs unchanged in greenlets (`process.py`), one for each process; its poller
+returns control to the virtual clock. A killed process is never resumed, so whatever it was doing
+stays unfinished. Two processes at once are an upgrade; from outside they are one relay.
 """
 
 from molehill.config import MS
@@ -16,11 +17,15 @@
 )
 
 SIGTERM, SIGHUP = 15, 1
-HANDOVER_READ_SPAN = 5 * MS  # by then a process has read what another said before its end
+HANDOVER_READ_SPAN = 5 * MS  # by then a process has read what another sent before it ended
 
 
 class Node:
-    """`given()`: the relay's configuration as of now, in the file's form. `disk_capacity`: bytes of the folder that lasts."""
+    """A relay's machine with its processes.
+
+    `read_settings()` returns the relay's current configuration in the form of its file.
+    `disk_capacity` is the size in bytes of the folder that outlives a process.
+    """
 
     def __init__(self, world, network, name: str, read_settings, disk_capacity: int):
         self.world, self.network, self.name, self.read_settings = (
@@ -35,7 +40,7 @@
             [],
         )
         self.disk.step, self.disk.lock = self.step, self.lock
-        # lives: those that are up
+        # processes: those that are up; owner: the one that holds the folder
         self.start_count, self.processes, self.owner, self.running = 0, [], None, None
         self.descriptor_limit, self.descriptor_share, self.frozen_until, self.ended_tasks = (
             1 << 30,
@@ -44,44 +49,51 @@
             [],
         )
         self.folder_lock, self.handover_listener = Lock(), HandoverListener()
-        self.wall_step = 0  # nanoseconds by which its wall clock is off
-        # each is told (node) when the relay is gone, with the disk as it was left
+        self.wall_step = 0  # offset of the wall clock in nanoseconds
+        # called with (node) when the relay is gone; the disk is as the relay left it
         self.on_kill = []
-        self.on_ready = []  # each is told (node, process) when a process can serve
+        self.on_ready = []  # called with (node, process) when a process can serve
         self.machine.make_sock = RelaySocket
 
     @property
     def process(self):
+        """The `relay.Process` that owns the folder, or None."""
         return self.owner and self.owner.relay_process
 
     @property
     def up(self) -> bool:
-        """Whether a process is there that serves, or that will without being started anew."""
+        """Whether a process serves, or will serve without a new start."""
         return any(process.serving or process.relay_process is None for process in self.processes)
 
-    # Its machine
+    # Interface of the machine
 
     def clock(self) -> int:
+        """Return the monotonic time in nanoseconds."""
         return self.world.now
 
     def wall_clock(self) -> int:
-        """Unix time as this machine has it; a fault may step it."""
+        """Return the Unix time that this machine reads; a fault may step it."""
         return self.world.now + self.wall_step
 
     def step(self, what: str, size: int = 0) -> int:
+        """Count a step of the running process; return how much of a write is done."""
         return self.running.step(what, size) if self.running is not None else size
 
     def lock(self, folder: str):
+        """Lock the folder: return a descriptor, or None while another process holds the lock."""
         self.step("lock")
         if self.folder_lock.holders:
             return None
         self.folder_lock = Lock()
         return Descriptor(self.running, self.folder_lock).fd
 
-    # Its processes
+    # Processes
 
     def start(self, kill_in=None, hang_at=None) -> EmulatedProcess:
-        """One more process: the relay's, or the next one beside that; to be killed in so many steps, or to hang."""
+        """Start a process: the relay's only one, or its successor in an upgrade.
+
+        It is killed after `kill_in` of its steps, or hangs as `hang_at` (step, span in ns) says.
+        """
         self.start_count += 1
         process = EmulatedProcess(self, self.start_count)
         process.kill_at, process.hang_at = kill_in, hang_at
@@ -92,7 +104,11 @@
         return process
 
     def take_over(self, process, by_handover: bool) -> None:
-        """It has the folder; `by_handover`: with all that the one before it had, so that for others nothing has changed."""
+        """Make `process` the owner of the folder.
+
+        `by_handover`: it received the whole state of its predecessor, so nothing changed for other
+        parties.
+        """
         if process is not self.owner:
             self.owner = process
             self.world.tell(
@@ -101,6 +117,7 @@
             process.by_handover = by_handover
 
     def ready(self, process) -> None:
+        """Record that a process can serve, and call the `on_ready` callbacks."""
         self.world.tell(
             self.name, "serves on" if process.by_handover else "ready", life=process.number
         )
@@ -108,11 +125,13 @@
             callback(self, process)
 
     def signal(self, number: int) -> None:
+        """Send a signal to the process that owns the folder."""
         if self.owner is not None and self.owner.state is UP:
             self.world.tell(self.name, "signal", number=number)
             self.owner.signal(number)
 
     def freeze(self, span: int) -> None:
+        """Stop all processes of the machine for `span` nanoseconds."""
         self.frozen_until = self.world.now + span
         self.world.tell(self.name, "frozen", until=self.frozen_until)
         for process in self.processes:
@@ -120,7 +139,11 @@
                 process.wake_at(self.frozen_until)
 
     def report_hang(self, process, until: int) -> None:
-        """A process stands still; the relay with it, if that is the one that serves or has all from the one that did."""
+        """Record that a process hangs until `until`.
+
+        The relay hangs with it if that process serves, or if it has received everything from the
+        one that did.
+        """
         if (
             process is self.owner
             or self.owner.relay_process is not None
@@ -131,16 +154,17 @@
             self.world.after(HANDOVER_READ_SPAN, self.report_hang, process, until)
 
     def kill(self) -> None:
-        """The process that serves."""
+        """Kill the process that owns the folder."""
         if self.owner is not None:
             self.owner.kill()
 
     def kill_in(self, steps: int) -> None:
+        """Kill the process that owns the folder after so many of its steps."""
         if self.owner is not None:
             self.owner.kill_at = self.owner.steps + steps
 
     def process_ended(self, process) -> None:
-        """A process is gone; the relay with it, unless another has taken over."""
+        """Handle the end of a process; the relay is gone with it unless another process took over."""
         self.processes.remove(process)
         if process is self.owner:
             self.announce_gone(process)
@@ -151,19 +175,22 @@
             self.notify_gone()
 
     def check_orphan(self) -> None:
-        """Gone after all, if the process that is left had given all to the one that died."""
+        """Report the relay as gone if the remaining process had handed everything to the dead one."""
         if self.owner.state is UP and self.owner.relay_process.handed_over and not self.up:
             self.announce_gone(self.owner)
 
     def announce_gone(self, process) -> None:
+        """Record the end of the relay and call the `on_kill` callbacks."""
         self.world.tell(
             self.name, process.state if process.state is not UP else "killed", life=process.number
         )
         self.notify_gone()
 
     def notify_gone(self) -> None:
+        """Call the `on_kill` callbacks."""
         for callback in self.on_kill:
             callback(self)
 
     def sizes(self) -> dict[str, int]:
+        """Return the row counts of the owner; see `EmulatedProcess.sizes`."""
         return self.owner.sizes()
--- a/molehill/emulator/process.py
+++ b/molehill/emulator/process.py
@@ -1,7 +1,9 @@
-"""One process of a relay: its greenlet, its descriptors, its steps; and what passes between two processes of one machine.
+"""One process of a relay: its greenlet, its descriptors and its steps, and its links to another
+process.
 
-A descriptor is one process's number for something of the kernel's (a socket, a lock, an end of a line). What it stands for
-lives until the last number for it is closed: those of other processes count, and those in a message that nobody has read.
+A descriptor is one process's number for a kernel object (a socket, a lock, an end of a message
+channel). The object lives until its last reference is closed: descriptors of other processes count,
+and so do those in messages that nobody has read yet.
 """
 
 import array
@@ -15,18 +17,22 @@
 from molehill.config import MS
 from molehill.emulator.network import Datagrams, Listener, Sock
 
-# least ns between two looks of a relay's loop: about what a callback costs one core
+# Least ns between two passes of a relay's loop: about the time that a callback costs one core.
 MIN_LOOP_INTERVAL = 150_000
 FIRST_DESCRIPTOR = 3  # after the standard streams
-# standard streams, log, discovery, notices, listener, and a few connections
+# Enough for the standard streams, log, discovery, notices, listener, and a few connections.
 MIN_DESCRIPTORS = 24
-# messages that a line between two processes takes in unread, a few more than kernels do
+# Unread messages that a channel between processes holds: a few more than in kernels.
 MESSAGE_QUEUE_LIMIT = 64
 UP, ENDED, KILLED = "up", "ended", "killed"
 
 
 class Descriptor:
-    """Calls go to what it stands for (`file`, which has `holders`); those that others can see are steps of the process."""
+    """A process's reference to a kernel object.
+
+    Calls are forwarded to `file`, which lists its references in `holders`. Calls with an effect
+    that others can see are steps of the process.
+    """
 
     def __init__(self, process, file):
         self.process, self.file, self.fd = process, file, process.allocate_descriptor(self)
@@ -78,13 +84,14 @@
 
 
 def release_reference(file, holder, how="close") -> None:
+    """Drop one reference to `file`; the last one closes it, by its method `how` if it has that."""
     file.holders.remove(holder)
     if not file.holders:
         getattr(file, how, file.close)()
 
 
 class KernelObject:
-    """What descriptors stand for."""
+    """What descriptors refer to."""
 
     def __init__(self):
         self.holders = []
@@ -105,7 +112,7 @@
 
 
 class RelaySocket(KernelObject, Sock, Listener):
-    """A socket before it is known whether it dials or listens."""
+    """A TCP socket of a relay, before it is known whether it connects or listens."""
 
     def __init__(self, network, machine):
         Sock.__init__(self, network, machine)
@@ -132,7 +139,10 @@
         self.close() if self.listening else Sock.reset(self)
 
     def shutdown(self, how) -> None:
-        """The protocol's other way to give a call up: the sending ends, and the connection stays."""
+        """Half-close the connection and record it.
+
+        This is the protocol's other way to give up a call: sending ends and the connection stays.
+        """
         Sock.shutdown(self, how)
         if self.is_shut_down:
             self._record_hang_up()
@@ -148,6 +158,8 @@
 
 
 class RelayDatagramSocket(KernelObject, Datagrams):
+    """A UDP socket of a relay."""
+
     def __init__(self, network, machine):
         Datagrams.__init__(self, network, machine)
         KernelObject.__init__(self)
@@ -156,7 +168,7 @@
 
 
 class Signals(KernelObject):
-    """The socket on which each signal comes as a byte."""
+    """A socket on which each signal arrives as one byte."""
 
     def __init__(self):
         super().__init__()
@@ -174,11 +186,14 @@
 
 
 class Lock(KernelObject):
-    """Of a folder: there while any process holds it."""
+    """The lock of a folder, held while any process has a descriptor of it."""
 
 
 class MessageSocket(KernelObject):
-    """One end of a line that keeps each message whole, with what is passed in it; what lies unread holds that."""
+    """One end of a channel that keeps message boundaries and passes descriptors.
+
+    An unread message holds the descriptors that are passed in it.
+    """
 
     def __init__(self):
         super().__init__()
@@ -225,14 +240,14 @@
 
 
 class HandoverListener(KernelObject):
-    """Where the next process of a relay finds the one that serves."""
+    """The listener at which a relay's next process connects to the one that serves."""
 
     def __init__(self):
         super().__init__()
         self.waiting, self.is_closed = [], False
 
     def connect(self):
-        """The asker's end of a new line."""
+        """Return the connecting side's end of a new channel."""
         if self.is_closed:
             raise ConnectionRefusedError(errno.ECONNREFUSED, "nobody is there")
         if self.waiting:
@@ -258,7 +273,10 @@
 
 
 class Poller:
-    """select.poll on virtual descriptors: gives the world its turn, and comes back when one is ready or time is up."""
+    """`select.poll` on virtual descriptors.
+
+    It returns control to the virtual clock until a descriptor is ready or the time is up.
+    """
 
     def __init__(self, process):
         self.process, self.masks = process, {}
@@ -271,7 +289,7 @@
 
     def ready(self) -> list[tuple[int, int]]:
         descriptors = self.process.descriptors
-        # 32: not a descriptor
+        # 32: POLLNVAL
         found = [
             (fd, descriptors[fd].mask() if fd in descriptors else 32) for fd in sorted(self.masks)
         ]
@@ -283,7 +301,7 @@
 
 
 class LogSink:
-    """Log lines, as the timeline shows them."""
+    """Collects the relay's log lines for the timeline."""
 
     def __init__(self, node):
         self.node = node
@@ -299,7 +317,7 @@
 
 
 class EmulatedProcess:
-    """A process of `node`'s, and the machine that is handed to it."""
+    """A process of `node`, and the machine interface that the relay's code is given."""
 
     def __init__(self, node, number: int):
         self.node, self.world, self.name, self.number, self.state = (
@@ -317,27 +335,27 @@
             {},
         )
         self.relay_process, self.signals, self.steps, self.by_handover = None, None, 0, False
-        self.kill_at, self.hang_at = None, None  # steps; a hang's with its span
+        self.kill_at, self.hang_at = None, None  # step of the kill; (step, span in ns) of the hang
         self.wake_serial, self.last_wake_at, self.waiting_task = 0, 0, None
         self.main = greenlet(self._run_relay, parent=node.world.hub)
 
     @property
     def serving(self) -> bool:
-        """Whether the relay is lost if this process is."""
+        """Whether the relay is down if this process ends."""
         return (
             self.state is UP
             and self.relay_process is not None
             and not self.relay_process.handed_over
         )
 
-    # The machine that is handed to it
+    # Machine interface for the relay
 
     def poller(self) -> Poller:
         self.current_poller = Poller(self)
         return self.current_poller
 
     def descriptor_limit(self) -> int:
-        """What its machine gives it; under a fault that share of it, and no less than a start needs."""
+        """Return the limit of the machine; under a fault a share of it, but enough to start."""
         node = self.node
         return (
             node.descriptor_limit
@@ -346,7 +364,7 @@
         )
 
     def allocate_descriptor(self, descriptor) -> int:
-        """The lowest number that is free, as kernels give."""
+        """Return the lowest free number, as kernels do."""
         fd = FIRST_DESCRIPTOR
         while fd in self.descriptors:
             fd += 1
@@ -380,10 +398,10 @@
     def close(self, fd: int) -> None:
         self.descriptors[fd].close()
 
-    # What it does
+    # Execution
 
     def _run_relay(self) -> None:
-        """As `python -m molehill` does."""
+        """Start and run the relay as `python -m molehill` does."""
         node, sink = self.node, LogSink(self.node)
         config = configuration.parse_config(node.read_settings(), {})
         node.descriptor_limit = (
@@ -409,7 +427,7 @@
         self.relay_process.run()
 
     def resume(self, task) -> None:
-        """Runs it up to its next wait; what it lets escape is a crash."""
+        """Run `task` up to its next wait. An exception that it lets escape is a crash."""
         self.node.running = self
         task.switch()
         self.node.running = None
@@ -417,7 +435,7 @@
             self.terminate(ENDED)
 
     def wait_up_to(self, span: int) -> None:
-        """Its loop has nothing to do for so long, unless something becomes ready."""
+        """Suspend the relay's loop for `span` ns, or until a descriptor becomes ready."""
         self.waiting_task = getcurrent()
         self.wake_at(self.world.now + span)
         self.world.hub.switch()
@@ -439,7 +457,7 @@
         self.resume(task)
 
     def wake_if_ready(self, fd: int) -> None:
-        """A descriptor of its own may have become ready."""
+        """Wake the loop if it polls `fd` and that is ready now."""
         if (
             self.waiting_task is not None
             and fd in self.current_poller.masks
@@ -452,10 +470,14 @@
             self.signals.file.inbox.append(number)
             self.signals.file.changed()
 
-    # Its death
+    # Kills and hangs
 
     def step(self, what: str, size: int = 0) -> int:
-        """One step at which a kill or a hang may fall; gives how much of a write is done, all but at a kill in its middle."""
+        """Count a step, at which a kill or a hang may occur.
+
+        Returns how many of `size` bytes are done: all of them, unless a kill falls into the middle
+        of a write.
+        """
         self.steps += 1
         if (
             self.kill_at is not None
@@ -464,7 +486,7 @@
         ):
             part = self.world.chance.randrange(size + 1) if what == "write" else 0
             if part:
-                # the part goes in, and the step after it is the last
+                # The part is written, and the process is killed at the next step.
                 self.kill_at = self.steps + 1
                 return part
             self.kill()
@@ -484,7 +506,7 @@
             self.resume(task)
 
     def kill(self) -> None:
-        """SIGKILL, from outside or in the middle of one of its own steps."""
+        """Kill the process as SIGKILL does, from outside or in the middle of one of its own steps."""
         if self.state is not UP:
             return
         self.terminate(KILLED)
@@ -493,9 +515,9 @@
             self.world.hub.switch()
 
     def terminate(self, how: str) -> None:
-        """What the kernel does with a process that is gone."""
+        """Release what the process held, as the kernel does when a process ends."""
         self.state, self.waiting_task, self.kill_at = how, None, None
-        # never resumed, never run by a destructor before the world's end
+        # Kept so that no destructor resumes the greenlet before the end of the run.
         self.node.ended_tasks.append(self)
         self.node.process_ended(self)
         for descriptor in sorted(self.descriptors.values(), key=lambda d: d.fd):
@@ -503,12 +525,12 @@
         self.descriptors.clear()
 
     def sizes(self) -> dict[str, int]:
-        """How many rows each map of the relay has that has to be empty again once nothing is held."""
+        """Return the row count of each map of the relay that must be empty once nothing is held."""
         core, http = self.relay_process.core, self.relay_process
-        # the socket of signals and the lock are not in the budget
+        # The signal socket and the lock are not in the budget.
         counted = http.budget.total() + 2
         if http.handover_server is not None:
-            # nor are the operators' door and the meeting place
+            # Nor are the admin listener and the handover listener.
             counted += 2
         if http.membership is not None:
             counted += http.membership.descriptor_count()
--- a/molehill/emulator/run.py
+++ b/molehill/emulator/run.py
@@ -1,4 +1,7 @@
-"""One run: a scenario in, a verdict out. All parties are made here, and each fault of the script is carried out here."""
+"""Play one scenario and return its verdict.
+
+The run creates all parties and applies each fault of the scenario.
+"""
 
 import gc
 
@@ -15,24 +18,27 @@
 from molehill.emulator.script import Script, fleet_settings, relay_settings
 from molehill.emulator.world import START, World
 
-RESTART_DELAY = 600 * MS  # from a kill to the next start: the platform's figure
-TERMINATION_TIMEOUT = 3700 * MS  # from SIGTERM to SIGKILL, likewise
-MEMBERSHIP_PORT = 7000  # what relays say to each other
-# operators' doors: a port for each start, as an upgrade has a new one
+RESTART_DELAY = 600 * MS  # from a kill to the next start, as on the platform
+TERMINATION_TIMEOUT = 3700 * MS  # from SIGTERM to SIGKILL, as on the platform
+MEMBERSHIP_PORT = 7000  # of the messages between relays
+# Base of the admin ports: each start gets its own, because in an upgrade two processes are up.
 ADMIN_PORT = 9000
-# after the last abandon time: ends and notices are out, rows are dropped
+# After the last deadline: by then ends and notices have been sent and rows dropped.
 CLEANUP_SPAN = 3 * SECOND
 
 
 class Plan:
-    """A stand-in's plan with the run's own times beside it."""
+    """The attributes of a stand-in: a row of the scenario, with times in the run's nanoseconds."""
 
     def __init__(self, **fields):
         self.__dict__.update(fields)
 
 
 def host_plans(scenario):
-    """(number of its destination's row, name, plan) of each host; rows are numbered by destination, hosts within by n."""
+    """Yield (destination row, n, name, plan) for each host.
+
+    The destination row is the index into `scenario.endpoints`; n numbers the hosts of one row.
+    """
     for number, plan in enumerate(scenario.endpoints):
         for n in range(plan.hosts):
             yield (
@@ -52,6 +58,7 @@
 
 
 def program_plan(scenario, program_row, until: int) -> Plan:
+    """Return the plan of a program that submits callbacks until `until` (ns)."""
     rows = {c.name: c for c in scenario.categories}
     surges = [(START + s.at_ms * MS, s.span_ms * MS, s.by) for s in scenario.surges]
     return Plan(
@@ -69,11 +76,13 @@
 
 
 class Run(Script):
+    """All parties of one scenario, and the handlers of its faults (`on_` and the kind)."""
+
     def __init__(self, scenario: Scenario):
         self.scenario = scenario
         self.prepare()
         self.world = world = World(scenario.seed)
-        # relay -> launches allowed, by each of its later files
+        # relay -> allowed attempts in each configuration file after the first
         self.retuned: dict[str, list[int]] = {}
         self.referee, self.recount = Referee(world, scenario), Recount(world, scenario)
         self.network = network = Network(world)
@@ -127,7 +136,7 @@
             world.after(MS, self.start_if_down, name)
 
     def settings_of(self, name: str) -> dict:
-        """A relay's configuration, in the platform's form."""
+        """Return a relay's current configuration in the platform's form."""
         start_count = self.nodes[name].start_count
         admin = (self.addresses[name][0], ADMIN_PORT + start_count) if self.upgrades else None
         words = {relay: (address[0], MEMBERSHIP_PORT) for relay, address in self.addresses.items()}
@@ -144,26 +153,31 @@
             fleet_settings(self.scenario, name, words[name], words),
         )
 
-    # Relays
+    # Lifecycle of relays
 
     def start_if_down(self, name: str) -> None:
+        """Start the relay unless a process of it is up."""
         node = self.nodes[name]
         if not node.up:
             self.start_process(node)
 
     def start_process(self, node, **troubles) -> None:
+        """Start one more process of the node; an exception from it is recorded as an event."""
         try:
             node.start(**troubles)
         except Exception as error:
             self.world.tell(node.name, "escaped", error=repr(error))
 
     def end_predecessor(self, node, process) -> None:
-        """At the yes of a process that was started beside another: told to end, and killed if it does not."""
+        """Send SIGTERM to the old process once the new one is ready, and kill it if it does not
+        end.
+        """
         for other in [o for o in node.processes if o is not process]:
             other.signal(SIGTERM)
             self.world.after(TERMINATION_TIMEOUT, other.kill)
 
     def observe(self, now, who, what, facts) -> None:
+        """Tell the programs and hosts when a relay becomes ready or goes away."""
         if what == "ready":
             self.relay_pool.up(who)
         elif what in ("killed", "ended"):
@@ -172,12 +186,14 @@
                 host.forget_relay(who)
 
     def restart_later(self, node) -> None:
+        """Check what a killed relay left on its disk, and start it again after RESTART_DELAY."""
         self.referee.left_on_disk(node.name, node.disk.image())
         self.world.after(RESTART_DELAY, self.start_if_down, node.name)
 
     # Faults
 
     def party(self, who: str):
+        """Return the relay's node or the host of that name, or None."""
         return self.nodes.get(who) or self.hosts.get(who)
 
     def on_kill(self, fault, node, span) -> None:
@@ -196,7 +212,11 @@
             self.world.after(TERMINATION_TIMEOUT, node.owner.kill)
 
     def on_upgrade(self, fault, node, span) -> None:
-        """Started again beside itself; the old or the new process dies or hangs in so many steps of its own, if any."""
+        """Start the next process beside the running one.
+
+        For the kinds with a suffix, the old or the new process dies or hangs after `worth` of its
+        own steps.
+        """
         if node.process is None or not node.owner.serving:
             return
         _, who, how = (fault.kind + "__").split("_")[:3]
@@ -217,11 +237,14 @@
         node.signal(SIGHUP)
 
     def on_retune(self, fault, node, span) -> None:
-        """One class more, and as many launches as `worth` says; with 0 the file is broken and nothing of it may be taken."""
+        """Reload a file with one more class and `worth` allowed attempts.
+
+        With 0 the file is broken, and the relay must apply nothing of it.
+        """
         files = self.retuned.setdefault(node.name, [])
         files.append(int(fault.worth))
         node.signal(SIGHUP)
-        if not files[-1]:  # mended soon, or the relay could not start again
+        if not files[-1]:  # repaired soon: otherwise the relay could not start again
             self.world.after(200 * MS, files.remove, 0)
 
     def on_freeze(self, fault, node, span) -> None:
@@ -237,7 +260,7 @@
             self.world.tell(node.name, "disk lost")
 
     def on_spoil(self, fault, node, span) -> None:
-        """Killed, and one byte of its log is another at the next start."""
+        """Kill the relay and change one byte of its log before the next start."""
         node.kill()
         node.disk.corrupt("/state/log")
 
@@ -256,19 +279,25 @@
         self.set_during(span, node, "descriptor_share", fault.worth, 1.0, min)
 
     def on_move(self, fault, _, span) -> None:
-        """Discovery and notices go to another address: each relay's file names it, and it is told by SIGHUP."""
+        """Move discovery and notices to another address.
+
+        Each relay's file names the new address, and each relay gets SIGHUP.
+        """
         self.platform.move()
         for node in self.nodes.values():
             node.signal(SIGHUP)
 
     def on_herd(self, fault, _, span) -> None:
-        """That share of the relays is killed at once, their folders kept."""
+        """Kill a share (`worth`) of the running relays at once; their folders stay."""
         up = [node for node in self.nodes.values() if node.up]
         for node in self.world.chance.sample(up, round(len(up) * fault.worth)):
             node.kill()
 
     def on_cut(self, fault, _, span) -> None:
-        """The end of each cut is known as it begins, so what is under way waits for the last of them."""
+        """Hold back everything on the affected paths until the end of the fault.
+
+        The end of each cut is known when it begins, so traffic waits for the last of them.
+        """
         for path in self.affected_paths(fault, span):
             path.until = max(path.until, self.world.now + span)
             if fault.kind == "burst":
@@ -291,7 +320,7 @@
     on_repeat = on_reorder = on_spoil_bytes = on_lose
 
     def affected_paths(self, fault, span: int) -> list:
-        """Those that it falls on; what it did there is told at its end."""
+        """Return the paths that the fault affects; the effect is reported when the fault ends."""
         found = [self.network.path_between(a, b) for a, b in directions(self.scenario, fault.who)]
         for path in found:
             self.world.after(span, self.report_affected, fault, path, path.affected_count)
@@ -307,13 +336,11 @@
             touched=path.affected_count - before,
         )
 
-    # The whole
-
     def play(self) -> dict:
-        """Runs to the end, or to the first breach; the verdict, as plain data."""
+        """Run to the end or to the first broken rule, and return the verdict as plain data."""
         world, s = self.world, self.scenario
         collecting = gc.isenabled()
-        gc.disable()  # nothing may end greenlets at a moment of its own choosing
+        gc.disable()  # a collection at an arbitrary time could end greenlets
         try:
             world.run(
                 self.until + max(c.span_ms for c in s.categories) * MS + LOST_AFTER + CLEANUP_SPAN
@@ -327,7 +354,7 @@
                         for name, node in up.items()
                     },
                 )
-        except Exception as error:  # asserted in debug builds, or let through by the scheduler
+        except Exception as error:  # an assertion, or an error that the scheduler let through
             world.tell("relay", "escaped", error=repr(error))
         finally:
             if collecting:
@@ -344,4 +371,5 @@
 
 
 def play(scenario: Scenario) -> dict:
+    """Play the scenario and return its verdict as plain data."""
     return Run(scenario).play()
--- a/molehill/emulator/world.py
+++ b/molehill/emulator/world.py
@@ -1,6 +1,8 @@
-"""The virtual clock: a heap of what is due, and the one loop that jumps from one due time to the next.
+"""The virtual clock: a heap of scheduled work, and one loop that jumps from one due time to the
+next.
 
-Relays run as greenlets of their own, woken by this loop when their pollers say so; all other parties are callbacks.
+Each relay runs in greenlets of its own, which this loop resumes when their pollers ask for it; all
+other parties are callbacks.
 """
 
 import hashlib
@@ -11,29 +13,37 @@
 
 from molehill.config import MS, SECOND
 
-START = 1_800_000_000 * SECOND  # Unix time at which each run begins: any fixed moment does
-TRACE_KEPT = 20_000  # events kept for the timeline; the digest covers all
+START = 1_800_000_000 * SECOND  # Unix time at which each run begins; any fixed value works
+TRACE_KEPT = 20_000  # events kept for the timeline; the digest covers all events
 
 
 class World:
-    """`now`: nanoseconds; `chance`: the one source of randomness; `trace`: (time, who, what, facts), the newest last."""
+    """The clock, the randomness and the record of events of one run.
+
+    `now` is the time in nanoseconds, `chance` the only source of randomness, and `trace` the newest
+    events as (time, who, what, facts), oldest first.
+    """
 
     def __init__(self, seed: int):
         self.now, self.chance, self.hub = START, Random(seed), getcurrent()
         self.heap, self.serial, self.events = [], 0, 0
         self.trace, self.digest, self.failure = [], hashlib.blake2b(digest_size=16), None
-        self.watchers = []  # each is told of every event, and may raise Breach
+        self.watchers = []  # called with (now, who, what, facts) of every event
 
     def at(self, when: int, work, *args) -> None:
-        """Calls work(*args) at that time, at once if it is past; what is due together runs as it was asked for."""
+        """Call work(*args) at that time, or as soon as possible if it has passed.
+
+        Work that is due at the same time runs in the order in which it was scheduled.
+        """
         self.serial += 1
         heappush(self.heap, (max(when, self.now), self.serial, work, args))
 
     def after(self, span: int, work, *args) -> None:
+        """Call work(*args) after `span` nanoseconds."""
         self.at(self.now + span, work, *args)
 
     def tell(self, who: str, what: str, **facts) -> None:
-        """Records an event that could be seen from outside: in the digest, the timeline, and to the watchers."""
+        """Record an externally visible event: in the digest, in the trace, and with the watchers."""
         self.events += 1
         self.digest.update(f"{self.now} {who} {what} {facts}\n".encode())
         self.trace.append((self.now, who, what, facts))
@@ -43,7 +53,7 @@
             watcher(self.now, who, what, facts)
 
     def run(self, until: int) -> None:
-        """Plays up to that time, or to the first breach (kept in `failure` by whoever finds it)."""
+        """Run up to that time, or until a watcher sets `failure`."""
         while self.heap and self.heap[0][0] <= until and self.failure is None:
             self.now, _, work, args = heappop(self.heap)
             work(*args)
@@ -51,4 +61,5 @@
             self.now = max(self.now, until)
 
     def milliseconds(self) -> float:
+        """Return the time since the start of the run in milliseconds."""
         return (self.now - START) / MS
