--- a/molehill/emulator/disk.py
+++ b/molehill/emulator/disk.py
@@ -1,7 +1,7 @@
-"""A disk with the manners of a folder that lasts: what a killed process wrote stays, to the byte.
+"""A disk that behaves as a durable folder: what a killed process wrote stays, to the byte.
 
-The node sets `lock`, and `step`: each call is one, at which a kill may fall; a write may be torn there at any byte. `short_write_share`: share
-of writes that take only a part. `write_errno`: errno that each write and rename gives while it is set. `capacity`: bytes in all files.
+The node sets `lock` and `step`. Each call of `step` is a point at which a kill may occur, and which
+may tear a write at any byte.
 """
 
 import errno
@@ -10,6 +10,12 @@
 
 
 class Disk:
+    """The files of one relay.
+
+    `capacity`: bytes in all files. `short_write_share`: share of writes that take only a part.
+    `write_errno`: errno of each write and rename while it is set.
+    """
+
     def __init__(self, world, capacity: int):
         self.world, self.capacity, self.files, self.step = (
             world,
@@ -20,22 +26,25 @@
         self.fds, self.serial, self.short_write_share, self.write_errno = {}, 0, 0.0, None
 
     def erase(self) -> None:
+        """Lose all files."""
         self.files = {}
 
     def corrupt(self, path: str) -> None:
-        """Changes one byte of a file, if it has any."""
+        """Change one byte of a file, unless it is empty or missing."""
         data = self.files.get(path)
         if data:
             at = self.world.chance.randrange(len(data))
             data[at] ^= 1 << self.world.chance.randrange(8)
 
     def used_bytes(self) -> int:
+        """Return the size of all files, each rounded up to whole blocks."""
         return sum(-(-len(data) // BLOCK) * BLOCK for data in self.files.values())
 
     def image(self) -> dict[str, bytes]:
+        """Return the contents of all files by path."""
         return {path: bytes(data) for path, data in sorted(self.files.items())}
 
-    # What a relay calls
+    # Interface for the relay
 
     def makedirs(self, folder: str) -> None:
         self.step("makedirs")
@@ -50,11 +59,12 @@
         del self.files[path]
 
     def open(self, path: str, truncate: bool = False) -> int:
+        """Open a file for writing and return its descriptor; create it if it is missing."""
         self.step("open")
         if truncate or path not in self.files:
             self.files[path] = bytearray()
         self.serial += 1
-        # by the file, not its name: a rename changes nothing
+        # Refers to the file and not to its name, so a rename has no effect on it.
         self.fds[self.serial] = [self.files[path], 0]
         return self.serial
 
@@ -65,6 +75,11 @@
         return bytes(self.files[path])
 
     def write(self, fd: int, data) -> int:
+        """Write at the descriptor's offset and return the count of bytes written, which may be
+        partial.
+
+        Raises OSError (ENOSPC, or `write_errno`).
+        """
         file, at = self.fds[fd]
         count = len(data)
         if (
@@ -77,7 +92,7 @@
             raise OSError(self.write_errno, "the disk fails")
         grown = max(0, at + count - len(file))
         room = self.capacity - self.used_bytes() + (-len(file)) % BLOCK
-        if grown > room:  # as kernels do: what has room goes in, then nothing
+        if grown > room:  # as kernels do: writes what fits, and the next write fails
             count -= grown - max(0, room)
             if count <= 0:
                 raise OSError(errno.ENOSPC, "no room")
@@ -88,6 +103,7 @@
         return count
 
     def truncate(self, fd: int, size: int) -> None:
+        """Set the length of the file; an extension is filled with zeros."""
         self.step("truncate")
         file = self.fds[fd][0]
         del file[size:]
--- a/molehill/emulator/generator.py
+++ b/molehill/emulator/generator.py
@@ -1,6 +1,7 @@
-"""Makes a rough day from a seed: who exists, what comes, and which faults fall, aimed at the edges too.
+"""Generate a scenario from a seed: parties, load, and faults, some of them aimed at time limits.
 
-`weights`: fault kind -> how often beside the others (1 as a rule; 0: never). All chance comes from the seed.
+`weights`: fault kind -> its frequency relative to the others (1 by default; 0: never). All
+randomness comes from the seed.
 """
 
 from random import Random
@@ -19,17 +20,18 @@
     check,
 )
 
-EDGE_MS = 50  # how near to a bound the aimed ones fall
+EDGE_MS = 50  # largest distance of an aimed fault from a time limit
 DRAIN_MS, RESTART_MS = 1000, 600
-# share of destinations that can do little more than what is asked of them
+# Share of destinations whose capacity is little more than their load.
 LOW_CAPACITY_SHARE = 0.4
-# Such a one can do so many times the load that comes, at the least and most. A relay takes what a host can do for 1.7 times
-# what is asked of it (decisions/slow_start.py, CAPACITY_OVER_DEMAND), which clients that come again raise by up to a half: at less, a relay that keeps to
-# its budget may push; at much more, nobody can.
+# Least and most capacity of such a destination, as a multiple of its load. A relay assumes a
+# capacity of 1.7 times the demand (decisions/slow_start.py, CAPACITY_OVER_DEMAND), and clients that retry
+# raise the demand by up to a half: with less, a relay that keeps to its budget may overload the
+# host; with much more, no relay can.
 CAPACITY_RANGE = (2.5, 4.0)
-# share of outages that take all hosts of a destination: "mostly", says the brief
+# Share of outages that affect all hosts of a destination: "mostly", by the requirements.
 WHOLE_OUTAGE_SHARE = 0.6
-# such a one lasts long enough to leave them cold, and ends while much comes
+# Such an outage lasts long enough to leave the hosts cold, and ends while load still arrives.
 OUTAGE_START_MS, OUTAGE_SPAN_MS = 3000, (5000, 7000)
 OUTAGES = ("silent", "erring", "refusing", "dead", "vanished")
 # kind -> (weight, least and most span in ms, least and most worth)
@@ -60,7 +62,7 @@
     "lost_answers": (2, (500, 5000), (0.1, 0.9)),
     "move": (1, (0, 0), (0, 0)),
 }
-OPTIONAL_KINDS = {  # likewise, drawn only where weights name them
+OPTIONAL_KINDS = {  # same fields; drawn only where weights name them
     "upgrade": (3, (0, 0), (0, 0)),
     "upgrade_new_dies": (3, (0, 0), (1, 250)),
     "upgrade_old_dies": (3, (0, 0), (1, 250)),
@@ -76,7 +78,10 @@
 
 
 def customer_settings(seed: int) -> dict:
-    """Settings that another customer might have, as fields of a scenario: its classes, what fits into a call, what is held."""
+    """Return settings that another customer might have, as fields of a scenario.
+
+    They are its classes, the callbacks in a call, and how much is held.
+    """
     chance, rows = Random(f"customer {seed}"), []
     for n in range(chance.randint(1, 6)):
         effect, span = chance.choice(EFFECTS), chance.choice([1000, 2000, 4000, 8000, 15000])
@@ -106,7 +111,10 @@
 def make(
     seed: int, weights=None, span_ms: int = 10_000, relays: int = 3, customers: bool = False
 ) -> Scenario:
-    """`customers`: with settings drawn too, so that each seed plays another customer."""
+    """Return the scenario of that seed.
+
+    `customers`: draw settings too, so that each seed plays another customer.
+    """
     chance = Random(f"day {seed}")
     window = chance.choice([1500, 2500, 6000])
     categories = [
@@ -220,13 +228,14 @@
 
 
 def limit_capacity(chance, endpoint: EndpointPlan, load: float) -> None:
-    """Fits its slots to `load`, callbacks a second for all its hosts."""
+    """Fit the destination's slots to `load`, in callbacks a second for all its hosts."""
     endpoint.span_ms, endpoint.rate, endpoint.queue = chance.choice([60.0, 120.0]), 0, 32
     capacity = chance.uniform(*CAPACITY_RANGE) * load / endpoint.hosts
     endpoint.slots = max(1, round(capacity * endpoint.span_ms / 1000))
 
 
 def make_fault(chance, kind: str, who: str, at_ms: int) -> Fault:
+    """Draw a fault's span and severity from the ranges of its kind."""
     _, (least, most), (low, high) = ALL_KINDS[kind]
     worth = chance.uniform(low, high)
     return Fault(
@@ -239,16 +248,19 @@
 
 
 def boundary_faults(chance, fault: Fault, window: int, categories, who) -> list[Fault]:
-    """Half of the time: the same fault's span, or one more fault beside it, within 50 ms of a bound."""
+    """Half of the time, move the fault's end or add a fault within 50 ms of a time limit.
+
+    Returns the added faults.
+    """
     if chance.random() < 0.5:
         return []
     near = chance.randrange(-EDGE_MS, EDGE_MS + 1)
     relay = chance.choice(who["relay"])
-    if fault.kind == "drain":  # a relay that stands still just before the grace is over
+    if fault.kind == "drain":  # a relay freezes just before the grace period ends
         return [Fault("freeze", fault.at_ms + DRAIN_MS - 200, relay, max(1, 200 + near))]
     if fault.kind in ("silent", "vanished", "dead", "erring", "spoilt"):
         bound = chance.choice([window, *(c.span_ms for c in categories)])
-        fault.span_ms = max(1, bound + near)  # it ends as a window or an abandon time does
+        fault.span_ms = max(1, bound + near)  # it ends when a window or a time limit does
         return [
             Fault(
                 "kill_step",
@@ -258,12 +270,12 @@
                 float(chance.randrange(1, 40)),
             )
         ]
-    # calls that may have run, and a wait that ends as their window does
+    # Calls that may have run, and a Retry-After that ends when their window does.
     if fault.kind == "shut":
-        # a relay comes back some time after the wait that it was told
+        # A relay retries some time after the received Retry-After has passed.
         fault.span_ms = window - chance.randrange(400)
         return [Fault("erring", max(0, fault.at_ms - 60), fault.who, 60)]
-    # what waits meanwhile is for a host that stays away, and has to be ended in time
+    # Callbacks that wait meanwhile are for a host that stays down; they have to be ended in time.
     if fault.kind == "freeze":
         fault.span_ms = 380 + near
         return [
@@ -291,7 +303,7 @@
                 float(chance.randrange(1, 60)),
             )
         ]
-    # a second one in the midst of the recovery
+    # A second kill during the recovery.
     if fault.kind in ("kill", "kill_step", "lose_disk"):
         return [
             Fault(
--- a/molehill/emulator/network.py
+++ b/molehill/emulator/network.py
@@ -1,8 +1,10 @@
-"""Stream sockets with the kernel's manners, between machines of one world.
+"""Stream and datagram sockets that behave as the kernel's, between machines of one run.
 
-Kept: partial reads and writes, full buffers, backlogs, refusals, resets (also by closing with bytes unread), half-closed and
-silent peers, connections that never come up, latencies of their own, so that connections overtake each other but bytes of one
-never do. A relay's side has the calls of `socket.socket` that it uses; a party's side has `put`, `close` and callbacks.
+Modelled are partial reads and writes, full buffers, backlogs, refused connections, resets (also on
+closing with unread bytes), half-closed and silent peers, connections that never come up, and a
+latency for each connection: connections overtake each other, but the bytes of one never do. A
+relay's side has the calls of `socket.socket` that it uses; a stand-in's side has `put`, `close` and
+callbacks.
 """
 
 import errno
@@ -12,12 +14,12 @@
 
 from molehill.config import SECOND
 
-# bytes under way and unread in one direction: as kernels keep, in the small
+# Bytes in flight and unread in one direction: as in kernels, on a smaller scale.
 BUFFER_BYTES = 64 * 1024
-MAX_REORDER_DELAY = 50_000_000  # ns by which a datagram that others overtake is late at most
-# datagrams that a socket takes in unread, about what kernels do with small ones
+MAX_REORDER_DELAY = 50_000_000  # ns: largest delay of a datagram that is reordered
+# Unread datagrams that a socket holds: about what kernels hold of small ones.
 DATAGRAM_QUEUE_LIMIT = 256
-# when a connection that had no answer is asked for again, as kernels do
+# When a connection request without an answer is sent again, as in kernels.
 CONNECT_RETRY_TIMES = (SECOND, 3 * SECOND, 7 * SECOND)
 ERRORS = {
     errno.ECONNREFUSED: ConnectionRefusedError,
@@ -27,24 +29,29 @@
 
 
 class Machine:
-    """A place in the network: listeners by address, and how its network fares. `cut`: says nothing, hears nothing."""
+    """A host of the network, with its listeners by address.
+
+    `cut`: it sends nothing and receives nothing.
+    """
 
     def __init__(self, world, name: str):
         self.world, self.name, self.cut, self.boots = world, name, False, 0
         self.listeners, self.socks = {}, set()
-        self.failed_connectors = set()  # names of machines that found nobody here
-        self.make_sock = Sock  # what a connection that comes here becomes
+        self.failed_connectors = set()  # names of machines whose connections failed here
+        self.make_sock = Sock  # class of the sockets of incoming connections
 
     def vanish(self) -> None:
-        """Says nothing from now on; its connections stay open at the others."""
+        """Send nothing from now on; its connections stay open at the other sides."""
         self.cut = True
 
     def back(self) -> None:
-        """Up again, knowing nothing of the connections it had: whoever writes on one gets a reset."""
+        """Come up again without any knowledge of earlier connections: who writes on one gets a
+        reset.
+        """
         self.cut, self.boots = False, self.boots + 1
 
     def die(self) -> None:
-        """Its process is gone, the kernel is not: connections are reset, new ones refused."""
+        """End the process but not the kernel: connections are reset and new ones refused."""
         for listener in list(self.listeners.values()):
             listener.close()
         for sock in sorted(self.socks, key=lambda s: s.number):
@@ -53,9 +60,12 @@
 
 
 class NetworkPath:
-    """What one sends to another: bytes wait until `until`, take `delay` more, and no more than `rate` a second get through (0: all).
+    """The faults on what one machine sends to another.
 
-    Of datagrams those behind `until` are lost, or come at its end where it is a burst's; shares of the others as the names say.
+    Bytes wait until `until`, take `delay` more, and at most `rate` of them a second get through (0:
+    unlimited). Datagrams sent before `until` are lost, or arrive at that time where the fault is a
+    burst; `lose`, `repeat`, `reorder` and `spoil_bytes` are the shares of the others that this
+    happens to.
     """
 
     def __init__(self, world):
@@ -76,7 +86,7 @@
         )
 
     def datagram_copies(self, when: int, data: bytes) -> list:
-        """(when it arrives, bytes) of each copy of a datagram that would arrive at `when`."""
+        """Return (arrival time, bytes) for each copy of a datagram that would arrive at `when`."""
         chance, now = self.world.chance, self.world.now
         if (
             now < self.until
@@ -103,7 +113,7 @@
         return [(self.arrival(when, len(data)), data)] * times
 
     def arrival(self, when: int, size: int) -> int:
-        """When what would arrive at `when` does."""
+        """Return the time at which `size` bytes arrive that would arrive at `when` without a fault."""
         later = max(when, self.until)
         if self.delay:
             later = max(later, when + int(self.delay * (0.5 + self.world.chance.random())))
@@ -115,9 +125,13 @@
 
 
 class Network:
+    """All machines of a run, and the paths between them."""
+
     def __init__(self, world, latency=(200_000, 800_000), partial_share: float = 0.02):
-        """`latency`: least and most nanoseconds one way, drawn for each connection; `partial_share`: share of reads and writes
-        that the kernel takes or gives only a part of."""
+        """`latency`: least and most nanoseconds one way, drawn for each connection.
+
+        `partial_share`: share of reads and writes that the kernel does only in part.
+        """
         self.world, self.latency, self.partial_share, self.numbers = (
             world,
             latency,
@@ -125,13 +139,14 @@
             0,
         )
         self.machines: dict[str, Machine] = {}
-        self.machines_by_address: dict[tuple, Machine] = {}  # address -> the machine that has it
-        # address -> the datagram socket that has it
+        self.machines_by_address: dict[tuple, Machine] = {}  # address -> its machine
+        # address -> the datagram socket bound to it
         self.datagram_sockets: dict[tuple, Datagrams] = {}
-        # (from, to) -> what troubles that way; absent: nothing ever did
+        # (from, to) -> its faults; absent: there never was one
         self.paths: dict[tuple, NetworkPath] = {}
 
     def machine(self, name: str) -> Machine:
+        """Return the machine of that name, and create it if needed."""
         return self.machines.setdefault(name, Machine(self.world, name))
 
     def deliver_datagram(self, address, data: bytes, sender) -> None:
@@ -140,6 +155,7 @@
             box.receive_datagram(data, sender)
 
     def path_between(self, a: str, b: str) -> NetworkPath:
+        """Return the path from machine `a` to machine `b`, and create it if needed."""
         return self.paths.setdefault((a, b), NetworkPath(self.world))
 
     def number(self) -> int:
@@ -147,11 +163,11 @@
         return self.numbers
 
     def address_seen_by(self, relay: str, address, party: str):
-        """What that relay is told for the address of a party: here, what it is."""
+        """Return the address that the relay is given for a party: here the real one."""
         return address
 
     def partial_count(self, count: int) -> int:
-        """How much of `count` bytes one call moves."""
+        """Return how many of `count` bytes one call transfers."""
         chance = self.world.chance
         return (
             chance.randrange(1, count + 1)
@@ -160,14 +176,14 @@
         )
 
     def connect(self, machine, address, came=None, ended=None, broke=None, up=None) -> "Sock":
-        """A party's connection; callbacks as of Sock."""
+        """Open a stand-in's connection; the callbacks are those of Sock."""
         sock = Sock(self, machine)
         sock.listen_to(came, ended, broke, up)
         sock.dial(address)
         return sock
 
     def serve(self, machine, address, accepted, backlog=1024) -> "Listener":
-        """A party's listener: accepted(sock) is called for each new connection."""
+        """Open a stand-in's listener; accepted(sock) is called for each new connection."""
         listener = Listener(self, machine)
         listener.bind(address)
         listener.listen(backlog)
@@ -176,7 +192,7 @@
 
 
 class SocketBase:
-    """What sockets and listeners share."""
+    """What all sockets share."""
 
     def __init__(self, network, machine):
         self.network, self.world, self.machine, self.number = (
@@ -194,14 +210,17 @@
         pass
 
     def changed(self) -> None:
-        """Something may have become ready."""
+        """Called when the socket may have become ready."""
 
     def forget(self) -> None:
+        """Remove the socket from its machine."""
         self.closed = True
         self.machine.socks.discard(self)
 
 
 class Listener(SocketBase):
+    """A listening stream socket."""
+
     def __init__(self, network, machine):
         super().__init__(network, machine)
         self.address, self.backlog, self.waiting, self.accepted = None, 0, [], None
@@ -218,7 +237,7 @@
         self.network.machines_by_address[self.address] = self.machine
 
     def add_connection(self, sock) -> bool:
-        """A connection that came; False if there is no room for it."""
+        """Queue or accept an incoming connection; return False if the backlog is full."""
         if len(self.waiting) >= self.backlog:
             return False
         if self.accepted is not None:
@@ -240,14 +259,17 @@
         if not self.closed:
             if self.machine.listeners.get(self.address) is self:
                 del self.machine.listeners[self.address]
-            for sock in self.waiting:  # as kernels do with what nobody accepted
+            for sock in self.waiting:  # as kernels do with connections that were never accepted
                 sock.reset()
             self.waiting = []
             self.forget()
 
 
 class Datagrams(SocketBase):
-    """A datagram socket. A relay's side has the calls of `socket.socket`; a party's is told came(box, data, address)."""
+    """A datagram socket.
+
+    A relay's side has the calls of `socket.socket`; a stand-in's gets came(socket, data, address).
+    """
 
     def __init__(self, network, machine):
         super().__init__(network, machine)
@@ -263,7 +285,10 @@
         return self.address
 
     def sendto(self, data, address) -> int:
-        """Danger: a datagram that finds nobody, or no room, is gone, and its sender hears nothing of it."""
+        """Send a datagram.
+
+        One that finds no socket, or no room in it, is lost without an error for its sender.
+        """
         network, address = self.network, tuple(address)
         there = network.datagram_sockets.get(address)
         due = self.world.now + self.world.chance.randrange(*network.latency)
@@ -312,8 +337,11 @@
 
 
 class Sock(SocketBase):
-    """One side of a connection. A party's side is driven by callbacks: up(sock), came(sock, data, sent_at), ended(sock),
-    broke(sock); sent_at is when the other side wrote the first of these bytes."""
+    """One side of a connection.
+
+    A stand-in's side is driven by callbacks: up(sock), came(sock, data, sent_at), ended(sock),
+    broke(sock). `sent_at` is when the other side wrote the first of these bytes.
+    """
 
     def __init__(self, network, machine):
         super().__init__(network, machine)
@@ -326,7 +354,7 @@
             False,
         )
         self.inbox, self.bytes_in_flight, self.delay, self.last_arrival = bytearray(), 0, 0, 0
-        # a party's: what waits for room; closes after it
+        # A stand-in's side: bytes that wait for room; whether it closes after them.
         self.outbox, self.close_when_sent = bytearray(), False
         self.on_came = self.on_ended = self.on_broke = self.on_up = None
         machine.socks.add(self)
@@ -334,7 +362,7 @@
     def listen_to(self, came=None, ended=None, broke=None, up=None) -> None:
         self.on_came, self.on_ended, self.on_broke, self.on_up = came, ended, broke, up
 
-    # Coming up
+    # Connecting
 
     def connect_ex(self, address) -> int:
         if self.state is FRESH:
@@ -352,7 +380,7 @@
             self.network.paths.get((self.machine.name, there.name)) if there is not None else None
         )
         if path is not None and path.until > self.world.now:
-            path.affected_count += 1  # the wish is lost; the kernel repeats it
+            path.affected_count += 1  # the request is lost; the kernel repeats it
         elif not self.closed and not self.machine.cut:
             self.world.after(self.delay, self._receive_connect, address)
         if tries < len(CONNECT_RETRY_TIMES):
@@ -368,7 +396,7 @@
             self._send_connect(address, tries)
 
     def _receive_connect(self, address) -> None:
-        """The far machine has the wish for a connection."""
+        """Handle a connection request at the remote machine."""
         machine = self.network.machines_by_address.get(address)
         if self.closed or self.state is not DIALLING or self.peer is not None:
             return
@@ -388,7 +416,7 @@
             due = self.world.now + self.delay
             self.world.at(path.arrival(due, 0) if path is not None else due, self._connected)
         else:
-            other.forget()  # no room in its backlog: it says nothing
+            other.forget()  # backlog full: the request is dropped without an answer
             self.peer = None
 
     def _connected(self) -> None:
@@ -442,7 +470,9 @@
         self._send_in_order(self.peer._receive, data, self.world.now, size=len(data))
 
     def _send_in_order(self, work, *args, size: int = 0) -> None:
-        """Things of one direction arrive in the order in which they were sent."""
+        """Schedule `work` at the peer; what is sent in one direction arrives in the order of
+        sending.
+        """
         due = self.world.now + self.delay
         path = self.network.paths.get((self.machine.name, self.peer.machine.name))
         self.last_arrival = max(
@@ -451,7 +481,10 @@
         self.world.at(self.last_arrival, work, *args)
 
     def _is_gone(self) -> bool:
-        """Whether this side can hear nothing of what comes, and if its machine knows nothing of it, says so."""
+        """Return whether this side can receive nothing.
+
+        If its machine no longer knows the connection, the peer gets a reset.
+        """
         if self.machine.cut:
             return True
         if self.closed or self.boots != self.machine.boots:
@@ -461,7 +494,7 @@
         return False
 
     def _receive(self, data: bytes, sent_at: int) -> None:
-        if self.machine.cut:  # never acknowledged: it stays in the sender's buffer
+        if self.machine.cut:  # not acknowledged: it stays in the sender's buffer
             return
         self.peer.bytes_in_flight -= len(data)
         if self._is_gone():
@@ -487,7 +520,7 @@
             and self.boots == self.machine.boots
             and not self.error
         ):
-            self.error = errno.ECONNRESET  # what came before it can still be read
+            self.error = errno.ECONNRESET  # what arrived earlier can still be read
             self._broken()
 
     def _broken(self) -> None:
@@ -532,7 +565,7 @@
             select.POLLOUT if self.room() > 0 else 0
         )
 
-    # Ends
+    # Closing
 
     def shutdown(self, how) -> None:
         self._check(writing=True)
@@ -544,23 +577,23 @@
         if self.closed:
             return
         if self.state is OPEN and not self.error and not self.machine.cut:
-            if self.inbox:  # as kernels do: what was not read is told to the sender
+            if self.inbox:  # as kernels do: unread bytes turn the close into a reset
                 self._send_in_order(self.peer._receive_reset)
             elif not self.is_shut_down:
                 self._send_in_order(self.peer._receive_end)
         self.forget()
 
     def reset(self) -> None:
-        """Breaks off at once; what is under way to the other side may still arrive there first."""
+        """Abort the connection; what was already sent may still arrive before the reset."""
         if not self.closed:
             if self.peer is not None and not self.machine.cut and not self.error:
                 self._send_in_order(self.peer._receive_reset)
             self.forget()
 
-    # A party's manners
+    # A stand-in's interface
 
     def put(self, data: bytes, then_close: bool = False) -> None:
-        """Sends all of it, as room comes; then ends the connection if asked to."""
+        """Send all of `data` as room becomes available; then close the connection if asked to."""
         self.outbox += data
         self.close_when_sent = self.close_when_sent or then_close
         self._flush()
--- a/molehill/emulator/scenario.py
+++ b/molehill/emulator/scenario.py
@@ -1,7 +1,8 @@
-"""A scenario: plain data that says who exists, what load comes, which fault falls when. TOML in, the same form out.
+"""A scenario: plain data that says who exists, what load arrives, and which faults occur when.
 
-Times are whole milliseconds from the start of the run (`_ms`), shares are from 0 to 1. A fault in a file is a ScenarioError
-whose text names the key, as `$.faults[2].at_ms`.
+It is read from TOML and written in the same form. Times are whole milliseconds from the start of
+the run (`_ms`), shares are from 0 to 1. An invalid file raises ScenarioError, whose text names the
+key, as `$.faults[2].at_ms`.
 """
 
 import tomllib
@@ -11,18 +12,21 @@
 
 
 class ScenarioError(Exception):
-    """A scenario that can't be used; the text names the key."""
+    """A scenario that cannot be used; the text names the key."""
 
 
+# Base of all parts of a scenario; unknown keys are errors.
 class ScenarioPart(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
     pass
 
 
 class Category(ScenarioPart):
+    """A class of callbacks."""
+
     name: str
     # idempotent, deduplicated or at_most_once, as the platform calls them
     effect: str
-    span_ms: int  # from handing in to abandon time
+    span_ms: int  # time limit, from submission on
     goal_ms: int = 0
     payoff: float = 1.0
     ordered: bool = False
@@ -31,21 +35,26 @@
 
     @property
     def span(self) -> int:
+        """Return the time limit in nanoseconds."""
         return self.span_ms * 1_000_000
 
 
 class EndpointPlan(ScenarioPart):
+    """The hosts of one destination."""
+
     destination: int
     hosts: int = 2
     kind: str = "plain"
-    span_ms: float = 20.0  # a call's usual time
+    span_ms: float = 20.0  # usual duration of a call
     slots: int = 16
     queue: int = 32
-    rate: int = 0  # calls a second and host; 0: no limit is told
+    rate: int = 0  # calls a second and host; 0: no limit is advertised
     zones: int = 2
 
 
 class ProgramPlan(ScenarioPart):
+    """A program that submits callbacks."""
+
     rate: float  # callbacks a second
     destinations: list[int]
     keys: int = 20
@@ -57,19 +66,27 @@
 
 
 class Surge(ScenarioPart):
+    """A time during which all programs submit `by` times their rate."""
+
     at_ms: int
     span_ms: int
     by: float
 
 
 class StrangersPlan(ScenarioPart):
+    """Misbehaving clients: share of copied ids, and other bad connections a second."""
+
     copies: float = 0.0
     rate: float = 0.0
 
 
 class Fault(ScenarioPart):
-    """`who`: a relay (relay0), a host (h3-0) or platform; of what falls on the way between two, `A>B` (what A sends to B) or `A<>B` (both
-    ways), where A and B are names, several with commas, or `relays`, `hosts`. `span_ms`: how long; `worth`: how bad, by the kind."""
+    """A fault on `who`, for `span_ms`; the kind says what `worth` (its severity) means.
+
+    `who` is a relay (relay0), a host (h3-0) or platform. For faults on the network between two
+    parties it is `A>B` (what A sends to B) or `A<>B` (both directions), where A and B are names,
+    separated by commas if several, or `relays`, `hosts`.
+    """
 
     kind: str
     at_ms: int
@@ -82,13 +99,15 @@
     """Membership among the relays; spans as in a relay's file (`roundMs` and so on)."""
 
     spans: dict[str, float] = {}
-    # emulated, each relay is told of so many others; on processes of all, each behind its cable
+    # Seeds of each relay when emulated. On real processes all others are, each behind its cable.
     seeds: int = 3
 
 
 class Scenario(ScenarioPart):
+    """All parties, load and faults of one run."""
+
     seed: int
-    # how long load comes; the run goes on until all that was taken on is over
+    # How long load arrives; the run goes on until all accepted callbacks have completed.
     span_ms: int
     relays: int
     categories: list[Category]
@@ -101,20 +120,20 @@
     sockets: int = 256
     disk_kb: int = 3000
     max_held: int = 400
-    slots: int = 32  # calls out at once, of one relay
+    slots: int = 32  # concurrent calls of one relay
     settle_ms: int = 500
     per_call: int = 4  # callbacks in a call to hosts of kind "bundle"
-    # programs that find no connection left more often than this were crowded out
+    # The run fails if programs find no free connection in more than this share of their tries.
     crowd_share: float = 0.2
     note: str = ""
 
 
-# kind -> who it falls on, and what `worth` means
+# kind -> the kind of party that it affects; the comments say what `worth` means
 FAULTS = {
-    # at once; at so many steps of its own from then on (worth)
+    # Killed at once; killed after so many of its own steps (worth).
     "kill": "relay",
     "kill_step": "relay",
-    # killed, and killed again so many steps into the recovery (worth)
+    # Killed, and killed again after so many steps of the recovery (worth).
     "kill_again": "relay",
     "restart": "relay",
     "hup": "relay",
@@ -138,44 +157,47 @@
     "outage": "platform",
     "lost_answers": "platform",
     "move": "platform",
-    # Started again beside itself; of these two, one is killed or hangs at so many steps of its own from then on (worth)
+    # A second process is started beside the first; one of the two is killed or hangs after so many
+    # of its own steps from then on (worth).
     "upgrade": "relay",
     "upgrade_new_dies": "relay",
     "upgrade_old_dies": "relay",
     "upgrade_new_hangs": "relay",
     "upgrade_old_hangs": "relay",
-    # What days of many relays bring: a share of the relays killed at once (worth), all hosts of one zone dark (worth: its index), the limits of
-    # all destinations lowered to a share (worth)
+    # With many relays: a share of them is killed at once (worth), all hosts of one zone vanish
+    # (worth: its index), the limits of all destinations are lowered to a share (worth).
     "herd": "platform",
     "zone_dark": "platform",
     "lower": "platform",
-    # new settings at SIGHUP, so many launches (worth); 0: a file that is broken
+    # New settings at SIGHUP with so many allowed attempts (worth); 0: a broken file.
     "retune": "relay",
-    # On the way from one to another. A connection's bytes wait and come in order; datagrams, the words among relays, are lost, or wait.
-    # nothing comes through; or it comes all at once when the span is over
+    # On the network between two parties. Bytes of a connection wait and arrive in order; datagrams
+    # (the messages among relays) are lost, or wait.
+    # Nothing gets through; or everything arrives at once at the end of the span.
     "cut": "pair",
     "burst": "pair",
-    # by so many ms, give or take half (worth); so many bytes a second (worth)
+    # Late by so many ms, plus or minus half (worth); limited to so many bytes a second (worth).
     "delay": "pair",
     "narrow": "pair",
-    # that share of datagrams (worth)
+    # Affects that share of datagrams (worth).
     "lose": "pair",
     "repeat": "pair",
     "reorder": "pair",
     "spoil_bytes": "pair",
-    # On processes only, but for the step of the wall clock
-    "starve": "relay",  # so many busy processes (worth) share its one core
-    # from its next start on its wall clock is so many ms off; gains that share (worth)
+    # On real processes only, except for wall_step.
+    "starve": "relay",  # so many busy processes (worth) share its core
+    # From its next start on its wall clock is so many ms off; it gains that share (worth).
     "clock": "relay",
     "drift": "relay",
-    # Its wall clock is stepped by so many ms (worth), for good. Its calls on sockets, or on its files, fail with that errno (worth).
+    # Its wall clock is stepped by so many ms (worth), permanently. Its calls on sockets or on files
+    # fail with that errno (worth).
     "wall_step": "relay",
     "accept_error": "relay",
     "connect_error": "relay",
     "disk_error": "relay",
-    # so many forged datagrams a second (worth) at the address where it hears others
+    # So many forged datagrams a second (worth) arrive at its membership address.
     "flood": "relay",
-    # killed, and from then on of the older program, for that span
+    # Killed, and started from the older version of the program for that span.
     "older": "relay",
 }
 
@@ -188,7 +210,7 @@
     "short_writes",
     "upgrade_new_dies",
     "upgrade_old_dies",
-    # they count steps, or need a disk that errs on demand
+    # These kinds count steps, or need a disk that fails on demand.
     "upgrade_new_hangs",
     "upgrade_old_hangs",
 )
@@ -202,12 +224,13 @@
     "connect_error",
     "disk_error",
 )
-# on processes they need molehill/fleet/shims.py
+# On real processes they need molehill/fleet/shims.py.
 SHIMMED = ("wall_step", "accept_error", "connect_error", "disk_error")
 STAGES = ("emulated", "processes")
 
 
 def load(text: str) -> Scenario:
+    """Read a scenario from TOML; raises ScenarioError."""
     try:
         return check(msgspec.convert(tomllib.loads(text), Scenario))
     except tomllib.TOMLDecodeError as error:
@@ -217,11 +240,12 @@
 
 
 def dump(scenario: Scenario) -> str:
+    """Return the scenario as TOML."""
     return tomli_w.dumps(msgspec.to_builtins(scenario))
 
 
 def check(scenario: Scenario) -> Scenario:
-    """What the types don't say."""
+    """Check what the types do not express, and return the scenario; raises ScenarioError."""
 
     def require(condition, key, text):
         if not condition:
@@ -287,7 +311,10 @@
 
 
 def directions(scenario: Scenario, who: str) -> list[tuple[str, str]]:
-    """(from, to) of each way that `A>B` or `A<>B` names; empty where it names none, or one without a relay at an end."""
+    """Return (from, to) for each direction that `A>B` or `A<>B` names.
+
+    Empty where it names none, or one without a relay at either end.
+    """
     relays = [f"relay{n}" for n in range(scenario.relays)]
     hosts = [f"h{e.destination}-{n}" for e in scenario.endpoints for n in range(e.hosts)]
     known = {
@@ -311,7 +338,7 @@
 
 
 def for_stage(scenario: Scenario, stage: str) -> Scenario:
-    """The scenario, if it can be played there; else a ScenarioError that names the fault."""
+    """Return the scenario if that stage can play it; else raise a ScenarioError naming the fault."""
     other = EMULATED_ONLY if stage == "processes" else PROCESSES_ONLY
     for n, fault in enumerate(scenario.faults):
         if fault.kind in other:
--- a/molehill/emulator/script.py
+++ b/molehill/emulator/script.py
@@ -1,7 +1,8 @@
-"""What a fault of the script does to hosts and to the platform, on the virtual machine or on the kernel's: one text for both.
+"""Apply the faults on hosts and the platform, in the emulator and on real processes alike.
 
-Whoever mixes this in has `world`, `scenario`, `hosts` (by name) and `platform`, calls `prepare` once, and `falls` when a fault is due.
-Faults of one kind may overlap on one thing: the end of one takes back its own part and leaves the others'.
+A class that uses Script has `world`, `scenario`, `hosts` (by name) and `platform`; it calls
+`prepare` once, and `apply_fault` when a fault is due. Faults of one kind may overlap on one target:
+the end of one takes back its own effect and leaves the others'.
 """
 
 from molehill.config import MS
@@ -12,7 +13,7 @@
     SLOW_START_SPAN,
 )
 
-DRAIN_NOTICE = 1500 * MS  # from the list's word to the first call that is turned away
+DRAIN_NOTICE = 1500 * MS  # from the change of the list to the first refused call
 CATEGORY_KEYS = {
     "name": "name",
     "effect": "semantics",
@@ -25,28 +26,36 @@
 
 
 class OverlappingParts:
-    """Parts that lie on one value. `worst(parts)`: which of those in force counts; `base`: the value without any.
+    """Fault values in force on one setting at the same time.
 
-    Danger: an end that puts back the value it found ends a longer fault that began before it, and keeps alive one that it outlasts.
+    `worst(parts)` chooses the value that counts; `base` is the value without any fault. A fault
+    must not restore the value that it found: that would end a longer fault that began earlier, and
+    would keep alive one that ends sooner.
     """
 
     def __init__(self, base, worst, apply):
         self.base, self.worst, self.apply, self.parts = base, worst, apply, {}
 
     def add(self, key, part) -> None:
+        """Put a part into force under `key`."""
         self.parts[key] = part
         self.apply(self.worst(self.parts.values()))
 
     def remove(self, key) -> None:
+        """Take the part under `key` out of force."""
         del self.parts[key]
         self.apply(self.worst(self.parts.values()) if self.parts else self.base)
 
 
 class Script:
+    """Handlers of the faults on hosts and the platform (`on_` and the kind)."""
+
     def prepare(self) -> None:
+        """Reset the record of faults in force."""
         self.layers, self.part_serial, self.modes, self.drains = {}, 0, {}, {}
 
     def apply_fault(self, fault) -> None:
+        """Record the fault and call the handler of its kind."""
         self.world.tell(
             "script",
             "fault",
@@ -58,16 +67,20 @@
         getattr(self, "on_" + fault.kind)(fault, self.party(fault.who), fault.span_ms * MS)
 
     def party(self, who: str):
+        """Return the host of that name, or None."""
         return self.hosts.get(who)
 
     def apply_during(self, span: int, place, part, base, worst, apply) -> None:
-        """`part` lies on `place` for that span; the value that is in force there goes to apply()."""
+        """Put `part` into force on `place` for `span` ns; apply() gets each value that comes into
+        force.
+        """
         layers = self.layers.setdefault(place, OverlappingParts(base, worst, apply))
         self.part_serial += 1
         layers.add(self.part_serial, part)
         self.world.after(span, layers.remove, self.part_serial)
 
     def set_during(self, span: int, thing, name: str, part, base, worst=max) -> None:
+        """Put `part` into force on an attribute for `span` ns."""
         self.apply_during(
             span, (thing, name), part, base, worst, lambda value: setattr(thing, name, value)
         )
@@ -84,7 +97,7 @@
         self.world.after(span, self._leave_mode, host, rows, row)
 
     def _leave_mode(self, host, rows, row) -> None:
-        """One that fell over meanwhile stays down."""
+        """End one mode of a host; a host that was overloaded meanwhile stays down."""
         rows.remove(row)
         if host.mode == row[0]:
             host.set_mode(*(rows[-1] if rows else ("well",)))
@@ -94,7 +107,10 @@
     )
 
     def on_drain(self, fault, host, span) -> None:
-        """Told first, by a second and a half; it turns away then, and is told to be back at the end."""
+        """Drain a host for `span`.
+
+        It is listed as leaving 1.5 s before it refuses calls, and as active again at the end.
+        """
         self.drains[host.name] = self.drains.get(host.name, 0) + 1
         self.platform.put(host, "leaving")
         self.world.after(DRAIN_NOTICE, self._start_draining, host)
@@ -136,7 +152,11 @@
 def fleet_settings(
     scenario, name: str, listen, member_addresses: dict, seed_all: bool = False
 ) -> dict:
-    """`fleet` of a relay's file; `member_addresses`: name -> the address at which this relay finds that one. Empty where the scenario has none."""
+    """Return the `fleet` section of a relay's file; empty if the scenario has none.
+
+    `member_addresses`: name -> the address at which this relay reaches that one. `seed_all`: name
+    all others as seeds.
+    """
     plan = scenario.fleet
     if plan is None:
         return {}
@@ -165,8 +185,11 @@
     retuned=(),
     fleet=None,
 ) -> dict:
-    """A relay's configuration in the platform's form. `listen`, `discovery`, `admin`: (address, port); `retuned`: the launches allowed
-    by each of its later files, which name one class more each."""
+    """Return a relay's configuration in the platform's form.
+
+    `listen`, `discovery` and `admin` are (address, port). `retuned`: the allowed attempts of each
+    later file; each later file adds one class.
+    """
     s, grades = scenario, []
     for c in s.categories:
         row = {key: getattr(c, field) for field, key in CATEGORY_KEYS.items()}
