--- a/molehill/cli/emulate.py
+++ b/molehill/cli/emulate.py
@@ -43,8 +43,10 @@
             weights_by_kind[kind] = float(number)
         except ValueError:
             raise click.UsageError(f"--weight {row}: not KIND=NUMBER") from None
-        if kind not in generator.ALL or weights_by_kind[kind] < 0:
-            raise click.UsageError(f"--weight {row}: one of {', '.join(generator.ALL)}, 0 or more")
+        if kind not in generator.ALL_KINDS or weights_by_kind[kind] < 0:
+            raise click.UsageError(
+                f"--weight {row}: one of {', '.join(generator.ALL_KINDS)}, 0 or more"
+            )
     return weights_by_kind
 
 
