--- a/molehill/emulator/generator.py
+++ b/molehill/emulator/generator.py
@@ -25,9 +25,9 @@
 # Share of destinations whose capacity is little more than their load.
 LOW_CAPACITY_SHARE = 0.4
 # Least and most capacity of such a destination, as a multiple of its load. A relay assumes a
-# capacity of 1.7 times the demand (decisions/slow_start.py, CAPACITY_OVER_DEMAND), and clients that retry
-# raise the demand by up to a half: with less, a relay that keeps to its budget may overload the
-# host; with much more, no relay can.
+# capacity of 1.7 times the demand (decisions/slow_start.py, CAPACITY_OVER_DEMAND), and clients that
+# retry raise the demand by up to a half: with less, a relay that keeps to its budget may overload
+# the host; with much more, no relay can.
 CAPACITY_RANGE = (2.5, 4.0)
 # Share of outages that affect all hosts of a destination: "mostly", by the requirements.
 WHOLE_OUTAGE_SHARE = 0.6
--- a/molehill/emulator/mutations.py
+++ b/molehill/emulator/mutations.py
@@ -1,6 +1,7 @@
-"""Known mistakes, each a small change of the relay made in memory: what a sweep has to find, or the net has a hole.
+"""Known mistakes, each a small change of the relay in memory, that a sweep must find.
 
-Used by the sweep's own measurement and by tests only; `mutated(name)` puts one in and takes it out again.
+One that is not found shows a gap in the emulator's checks. They are used only by tests and by the
+measurement of the sweep; `mutated(name)` plants one and removes it again.
 """
 
 from contextlib import contextmanager
@@ -21,7 +22,7 @@
 
 
 def answer_before_log(before):
-    """What is taken on is written a little after it was answered."""
+    """Accepted callbacks are logged 3 ms after they were answered."""
 
     def carry(self, effects):
         taken = [e for e in effects if type(e) is ev.Append and e.record["k"] == "taken"]
@@ -52,7 +53,7 @@
 
 
 def change_settings(**changes):
-    """The module's settings read wrong: `changes` by a category's field."""
+    """The decision module's settings are read wrong: `changes` by a category's field."""
 
     def change(before):
         def read(given, prefix=""):
@@ -90,7 +91,7 @@
 
 
 def reuse_after_timeout(before):
-    """The connection of a call that timed out is used again: its late answer is taken for the next call's."""
+    """A timed-out call's connection is used again: its late answer counts for the next call."""
 
     def useless(self, call, stream, start, end, came):
         if end.result is not interface.Result.TIMEOUT:
@@ -107,7 +108,9 @@
 
 
 def last_deadline(before):
-    """A call goes on until the last of its members' times, and what comes by then is taken for each one's delivery."""
+    """A call lasts until its last callback's deadline; what arrives by then counts for each
+    callback.
+    """
     return lambda call: max(member.deadline for member in call.callbacks)
 
 
@@ -160,7 +163,7 @@
 
 
 def log_attempt_early(before):
-    """A launch is in the log before its connection is up."""
+    """An attempt is logged before its connection is up."""
 
     def go(self, out):
         before(self, out)
@@ -171,7 +174,7 @@
 
 
 def offer_as_new(before):
-    """What a restart takes up is told to the module as if it came just now."""
+    """What a restart recovers is passed to the decision module as if it had just arrived."""
 
     def hand_over(self, c):
         before(self, c)
@@ -181,7 +184,7 @@
 
 
 def retry_accept_at_once(before):
-    """An error of accept(2) is met by the next try at once."""
+    """An error of accept(2) is followed by the next try at once."""
 
     def accept(self):
         while self.listener is not None:
@@ -219,7 +222,7 @@
     return repair_end
 
 
-# name -> (where it is put, the attribute, what makes the wrong one of the right one), or several such for one mistake
+# name -> (owner, attribute, function from the right value to the wrong one), or several such rows
 MUTATIONS = {
     "log written on behind a torn record": (
         (Store, "repair_end", skip_tail_repair),
@@ -370,7 +373,7 @@
 
 @contextmanager
 def mutated(name: str):
-    """Within it, the relay makes that mistake. KeyError for a name that is not in MUTATIONS."""
+    """Make the relay have that mistake within the context; KeyError for a name not in MUTATIONS."""
     rows = MUTATIONS[name]
     rows = rows if isinstance(rows[0], tuple) else (rows,)
     before = [place.__dict__[attribute] for place, attribute, _ in rows]
--- a/molehill/emulator/network.py
+++ b/molehill/emulator/network.py
@@ -113,7 +113,7 @@
         return [(self.arrival(when, len(data)), data)] * times
 
     def arrival(self, when: int, size: int) -> int:
-        """Return the time at which `size` bytes arrive that would arrive at `when` without a fault."""
+        """Return when `size` bytes arrive that would arrive at `when` without a fault."""
         later = max(when, self.until)
         if self.delay:
             later = max(later, when + int(self.delay * (0.5 + self.world.chance.random())))
--- a/molehill/emulator/node.py
+++ b/molehill/emulator/node.py
@@ -164,7 +164,7 @@
             self.owner.kill_at = self.owner.steps + steps
 
     def process_ended(self, process) -> None:
-        """Handle the end of a process; the relay is gone with it unless another process took over."""
+        """Handle the end of a process; the relay is gone too unless another took over."""
         self.processes.remove(process)
         if process is self.owner:
             self.announce_gone(process)
@@ -175,7 +175,7 @@
             self.notify_gone()
 
     def check_orphan(self) -> None:
-        """Report the relay as gone if the remaining process had handed everything to the dead one."""
+        """Report the relay as gone if the remaining process had handed over to the dead one."""
         if self.owner.state is UP and self.owner.relay_process.handed_over and not self.up:
             self.announce_gone(self.owner)
 
--- a/molehill/emulator/parties/endpoint.py
+++ b/molehill/emulator/parties/endpoint.py
@@ -1,7 +1,9 @@
-"""A partner's endpoint: one host of a destination, with limits, a queue, a drain, outages and a cold return.
+"""A partner's endpoint: one host of a destination, with limits, a queue, draining, outages and a
+cold start.
 
-Modes: well; silent (reads, says nothing); erring (500); refusing (503); shut (429, told to wait till it opens); slow; spoilt (answers noise); dead (process gone);
-vanished (machine gone). The manner of an outage is `Endpoint.MODES`, a row a mode.
+Modes: well; silent (reads, answers nothing); erring (500); refusing (503); shut (429, with a Retry-
+After until it opens); slow; spoilt (answers noise); dead (process gone); vanished (machine gone).
+MODES says how each behaves.
 """
 
 from collections import deque
@@ -9,7 +11,7 @@
 from molehill.config import MS, SECOND
 from molehill.emulator.parties.wire import MessageReader, answer
 
-# mode -> (its calls count as failing for those who saw them, what it does with a call)
+# mode -> (whether relays see its calls fail, what it does with a call)
 MODES = {
     "well": (False, "serve"),
     "slow": (False, "serve"),
@@ -21,25 +23,33 @@
     "dead": (True, "nothing"),
     "vanished": (True, "nothing"),
 }
-# The brief's figures for rule 4: how long it is cold after an outage; the share of its calls a second that it can do when
-# cold; it falls over if asked for more than PUSHED times what it can do, for so long.
+# The requirements' figures for rule 4: how long a host is cold after an outage; the share of its
+# capacity that it has when cold; it fails when it gets more than OVERLOAD_FACTOR times its capacity
+# for OVERLOAD_SPAN.
 SLOW_START_SPAN, COLD_SHARE, OVERLOAD_FACTOR, OVERLOAD_SPAN = 10 * SECOND, 0.17, 2.0, 1500 * MS
-# What it bears beyond that, for chance: so many times the root of the calls that it can do in that time, and so many more calls. Where
-# that is few, the other pair.
+# What it bears beyond that, to allow for random variation: a multiple of the root of its capacity
+# in that time, and a number of calls. The second pair is for capacities below FEW_CALLS.
 FEW_CALLS = 30
 SLACK, SLACK_OF_FEW = (2.0, 2), (3.0, 3)
-# an outage is one that lasted so long: the shortest of the bench's that leave one cold
+# Least duration of an outage that leaves a host cold: the shortest such outage of the bench.
 OUTAGE = 5 * SECOND
 
 
 def slow_start_budget(calls: float) -> float:
-    """Calls that a returning host bears in FALL_SPAN, `calls` being what it can do in it by the settings."""
+    """Return the calls that a returning host bears in OVERLOAD_SPAN.
+
+    `calls` is its capacity in that time by the settings.
+    """
     roots, more = SLACK_OF_FEW if calls < FEW_CALLS else SLACK
     return calls + roots * calls**0.5 + more
 
 
 class Endpoint:
-    """`plan`: destination, zone, kind, span (ns for a call), slots, queue, rate (calls a second; 0: none), apart, per_call."""
+    """A host of a destination.
+
+    `plan`: destination, zone, kind, span (ns for a call), slots, queue, rate (calls a second; 0: no
+    limit).
+    """
 
     def __init__(self, world, network, name: str, address, plan):
         self.world, self.network, self.name, self.address, self.plan = (
@@ -62,14 +72,15 @@
             None,
             set(),
         )
-        # spends: calls that are refused use its limit up too
+        # counts_refusals: refused calls count towards the limit too
         self.recent_calls, self.counts_refusals, self.usual_rate = deque(), False, plan.rate
         self.conns, self.listener = {}, None
-        # greatest share of its budget that it was given after a return
+        # Greatest share of its budget that it received after an outage.
         self.max_budget_share = 0.0
         self.open()
 
     def open(self) -> None:
+        """Listen for connections."""
         self.listener = self.network.serve(self.machine, self.address, self.accepted)
 
     def accepted(self, sock) -> None:
@@ -82,7 +93,10 @@
         sock.close()
 
     def set_mode(self, mode: str, slowness: int = 1, reopens_at: int = 0) -> None:
-        """A change of mode, by the fault script; `reopens_at`: when one that is shut turns nobody away any more."""
+        """Change the mode, by the fault script.
+
+        `reopens_at`: when a host that is shut refuses no more calls.
+        """
         self.reopens_at = reopens_at
         before, self.mode, self.slowness = self.mode, mode, slowness
         self.world.tell(self.name, "mode", before=before, after=mode)
@@ -107,11 +121,11 @@
             self.conns, self.busy_slots, self.queue = {}, 0, deque()
 
     def forget_relay(self, relay: str) -> None:
-        """One that was started anew has seen nothing of what it failed at before."""
+        """Forget that the relay saw failures: one that was started anew knows nothing of them."""
         self.seen_failing.discard(relay)
         self.machine.failed_connectors.discard(relay)
 
-    # A call
+    # Calls
 
     def receive(self, sock, data: bytes, sent_at: int) -> None:
         reader = self.conns.get(sock)
@@ -165,7 +179,7 @@
             self.admit_call(call)
 
     def check_overload(self, relay: str) -> None:
-        """Rule 4's other side: a cold one that is asked for too much by those who saw it fail falls over."""
+        """Let a cold host fail when it gets too many calls (the host's side of rule 4)."""
         now = self.world.now
         self.recent_calls.append((now, relay))
         while self.recent_calls and self.recent_calls[0][0] < now - OVERLOAD_SPAN:
@@ -196,11 +210,17 @@
             self.set_mode("erring")
 
     def capacity(self) -> float:
-        """Calls a second that it can do; what a told rate turns away costs it nothing."""
+        """Return the calls a second that it can process; calls refused by its rate limit cost
+        nothing.
+        """
         return self.plan.slots * SECOND / max(1, self.plan.span)
 
     def lower_limit(self, share: float) -> None:
-        """Its limit becomes that share of its usual one, or of what it can do if it tells none; refusals spend it. 1.0: as usual."""
+        """Lower the rate limit to a share of the usual one; 1.0 restores it.
+
+        A host without a limit gets that share of its capacity. While it is lowered, refused calls
+        count towards the limit.
+        """
         lower = share < 1.0
         self.plan.rate, self.counts_refusals = (
             max(1, int((self.usual_rate or self.capacity()) * share)) if lower else self.usual_rate,
@@ -262,7 +282,7 @@
         body = b""
         if bundle and status == 200:
             body = "".join(f"{ident} delivered\r\n" for ident, _, _ in ids).encode()
-        # The told wait as the header gives it: to a millisecond.
+        # The Retry-After as the header has it: to a millisecond.
         told = int(round(wait / SECOND, 3) * SECOND) if wait else 0
         self.world.tell(
             self.name,
@@ -281,5 +301,8 @@
 
 
 def body_prefix(body: bytes) -> str:
-    """A short name for a body in events: the stand-ins' bodies are short and each is its own."""
+    """Return a short text that identifies a body in events.
+
+    The stand-ins' bodies are short and distinct.
+    """
     return body[:40].decode("latin-1")
--- a/molehill/emulator/parties/platform.py
+++ b/molehill/emulator/parties/platform.py
@@ -1,7 +1,8 @@
-"""The platform: discovery with its watches, and the notices' address; one service for all relays.
+"""The platform: discovery with its watches, and the address for notices; one service for all
+relays.
 
-Faults: it lags (news reach the list so much later), is down (watches end, calls fail, notices are still answered), or loses
-the answer to a notice that it has taken.
+Faults: it lags (changes reach the list later), is down (watches end, calls fail, notices are still
+answered), or loses the answer to a notice that it has accepted.
 """
 
 import json
@@ -11,6 +12,8 @@
 
 
 class Platform:
+    """Serves the list of hosts and accepts notices."""
+
     def __init__(self, world, network, address):
         self.world, self.network, self.address = world, network, address
         self.machine, self.conns, self.watches = network.machine("platform"), {}, {}
@@ -19,11 +22,11 @@
         self.lag, self.down, self.lose_answers = 0, False, 0.0
         self.listener = network.serve(self.machine, address, self.accepted)
 
-    # the old address accepts nothing new, and ends what is open after so long
+    # The old address accepts no new connections, and closes the open ones after this span.
     OLD_ADDRESS_SPAN = 1500 * MS
 
     def move(self) -> None:
-        """Serves at another address from now on."""
+        """Serve at another address from now on."""
         self.listener.close()
         self.world.after(self.OLD_ADDRESS_SPAN, self._close, list(self.conns))
         self.address = (self.address[0], self.address[1] + 1)
@@ -34,10 +37,10 @@
             if sock in self.conns:
                 self.close_connection(sock)
 
-    # What the fault script and the run do
+    # Interface for the fault script and the run
 
     def put(self, host, status: str, lag=None) -> None:
-        """A change of the list, once the lag is over. `host`: an Endpoint."""
+        """Change a host's status in the list after the lag. `host` is an Endpoint."""
         self.world.after(self.lag if lag is None else lag, self._put, host, status)
 
     def _put(self, host, status: str) -> None:
@@ -48,6 +51,7 @@
             self._answer_watch(sock)
 
     def row(self, host, status: str) -> dict:
+        """Return the host's row of the list."""
         return {
             "name": host.name,
             "address": host.address,
@@ -60,6 +64,7 @@
         }
 
     def known(self, relay: str) -> dict:
+        """Return the whole list as the relay would receive it."""
         return {
             "index": self.version,
             "snapshot": True,
@@ -67,7 +72,7 @@
         }
 
     def rows_for(self, relay: str, names) -> list[dict]:
-        """Rows of the list as that relay is told them."""
+        """Return rows of the list with the addresses that this relay sees."""
         return [
             {
                 **self.rows[name],
@@ -78,6 +83,7 @@
         ]
 
     def set_down(self, down: bool) -> None:
+        """Start or end an outage of discovery; watches end with a reset."""
         self.down = down
         if down:
             for sock in list(self.watches):
--- a/molehill/emulator/parties/programs.py
+++ b/molehill/emulator/parties/programs.py
@@ -1,6 +1,8 @@
-"""Order programs: clients that hand callbacks in, through a front that deals out relays and notices a dead one late.
+"""Programs: clients that submit callbacks to relays from a shared pool, which notices a dead relay
+late.
 
-All programs' connections to one relay have one allowance, as real fleets have; those that stand idle count.
+All programs' connections to one relay share one allowance, as in real fleets; idle connections
+count.
 """
 
 from collections import deque
@@ -8,15 +10,17 @@
 from molehill.config import MS, SECOND
 from molehill.emulator.parties.wire import MessageReader, request
 
-# a client waits so long for its answer: the protocol's figure
+# How long a client waits for its answer, by the protocol.
 ANSWER_TIMEOUT = 400 * MS
-FAILURE_DETECTION_DELAY = 2 * SECOND  # the front deals out a dead relay for so long
-IDLE_TIMEOUT = 20 * SECOND  # an idle connection of a program that goes on
-SINGLE_USE_IDLE_TIMEOUT = 60 * SECOND  # one that was asked on once, by those who ask once and stay
+FAILURE_DETECTION_DELAY = 2 * SECOND  # the pool hands out a dead relay for this long
+IDLE_TIMEOUT = 20 * SECOND  # of a connection that is used again
+SINGLE_USE_IDLE_TIMEOUT = (
+    60 * SECOND
+)  # of programs that send one request on a connection and keep it open
 
 
 class RelayPool:
-    """Which relays are dealt out, and how many connections to each its clients may hold together."""
+    """The relays that clients may choose, and the connections to each that are allowed."""
 
     def __init__(self, world, allowance: int):
         self.world, self.allowance, self.alive, self.open = world, allowance, [], {}
@@ -33,6 +37,7 @@
             self.alive.remove(relay)
 
     def pick(self):
+        """Return a random relay that is believed alive, or None."""
         return self.world.chance.choice(self.alive) if self.alive else None
 
     def may_open(self, relay: str) -> bool:
@@ -43,7 +48,10 @@
 
 
 class Message:
-    """One callback from its program's view; handed in anew under a new id as long as that is of use."""
+    """One callback as its program sees it.
+
+    It is submitted again under a new id as long as that is useful.
+    """
 
     __slots__ = (
         "number",
@@ -68,11 +76,13 @@
             due,
         )
         self.mark, self.body, self.tries, self.born = mark, body, 0, born
-        # the id that was sent once more after a kept connection's end; where to
+        # The id that was sent again after an idle connection had ended, and its relay.
         self.resent_id, self.relay = None, None
 
 
 class ClientConnection:
+    """A program's connection to a relay, with the request in progress."""
+
     def __init__(self, program, relay: str, address):
         self.program, self.relay, self.reader, self.ask, self.serial = (
             program,
@@ -107,8 +117,12 @@
 
 
 class Program:
-    """`plan`: rate (a second), until (ns), destinations, categories (rows: name, span, ordered, deduplicated), keys, tries,
-    heeds (advice), once (asks once on a connection and keeps it), leaves (share given up before the answer)."""
+    """A client that submits callbacks.
+
+    `plan`: rate (a second), until (ns), destinations, categories (rows: name, span, ordered,
+    deduplicated), keys, tries, heeds (follows Retry-After), once (one request on a connection,
+    which it keeps open), leaves (share of requests given up before the answer).
+    """
 
     def __init__(self, world, network, relay_pool, name: str, addresses, plan):
         self.world, self.network, self.relay_pool, self.name, self.addresses, self.plan = (
@@ -124,9 +138,9 @@
             {relay: [] for relay in addresses},
             0,
         )
-        # key -> its messages, the first being handed in
+        # key -> its messages; the first is being submitted
         self.waiting: dict[str, deque] = {}
-        # told (id, relay, message) of each request, as a stranger may be
+        # Called with (id, relay, message) of each request, for a stranger to copy.
         self.request_observer = None
         world.after(world.chance.randrange(SECOND), self.submit_next)
 
@@ -160,7 +174,7 @@
             self.submit(message)
 
     def finish(self, message) -> None:
-        """Handed in, or given up: the key's next may go."""
+        """Finish with a message, accepted or given up; the next one of its key may go."""
         row = self.waiting.get(message.key)
         if row and row[0] is message:
             row.popleft()
@@ -170,7 +184,7 @@
                 del self.waiting[message.key]
 
     def retry(self, message, wait: int) -> None:
-        """After a refusal or no answer: once more later, while there is time and tries are left."""
+        """Submit again later after a refusal or no answer, while time and tries are left."""
         at = self.world.now + (wait or 50 * MS + self.world.chance.randrange(200 * MS))
         if message.tries >= self.plan.tries or at >= message.due:
             self.world.tell(self.name, "gave up", message=message.number)
@@ -202,7 +216,7 @@
             conn.serial + 1,
         )
         self.world.after(ANSWER_TIMEOUT, self.time_out, conn, conn.serial)
-        # before it goes: on a new connection, a stranger may be there first
+        # Called before the request goes out, so on a new connection a stranger may be first.
         if self.request_observer is not None:
             self.request_observer(conn.ask[1], relay, message)
         if conn.sock.state == "open":
@@ -288,7 +302,7 @@
         (message, ident, written), conn.ask = conn.ask, None
         self.world.tell(self.name, "broken off", id=ident)
         if conn.serial > 1 and written and message.resent_id != ident:
-            # it crossed the end of a kept connection: once more, under the same id
+            # It crossed the end of a kept connection: send it again under the same id.
             message.resent_id = ident
             self.submit(message)
         else:
--- a/molehill/emulator/parties/strangers.py
+++ b/molehill/emulator/parties/strangers.py
@@ -1,4 +1,7 @@
-"""Those who misbehave at the relay's door: ids not theirs, silence, half requests, noise. None of it may harm the others."""
+"""Clients that misbehave at a relay: other clients' ids, silence, half requests, noise.
+
+None of it may harm other clients.
+"""
 
 from molehill.config import MS, SECOND
 from molehill.emulator.parties.wire import MessageReader, request
@@ -12,11 +15,14 @@
     b"POST /api HTTP/1.1\r\n" + b"X: y\r\n" * 4000,
 )
 
-MAX_COPY_SPAN = 3 * SECOND  # of a copy's time, which is what its request says
+MAX_COPY_SPAN = 3 * SECOND  # longest time limit of a copy, which is also in its request
 
 
 class Strangers:
-    """`plan`: copies (share of requests whose id they use too), rate (connections a second), until."""
+    """Misbehaving clients.
+
+    `plan`: copies (share of requests whose id they use too), rate (connections a second), until.
+    """
 
     def __init__(self, world, network, addresses, plan):
         self.world, self.network, self.addresses, self.plan = world, network, addresses, plan
@@ -25,7 +31,10 @@
             world.after(world.chance.randrange(SECOND), self.connect_next)
 
     def observe_request(self, ident: str, relay: str, message) -> None:
-        """The same id with another's key and words, at once: by its own connection it may be there before the true one."""
+        """Send a request with the same id but another key and body at once.
+
+        It has a connection of its own and may arrive before the true one.
+        """
         if self.world.now >= self.plan.until or self.world.chance.random() >= self.plan.copies:
             return
         headers = [
@@ -84,6 +93,9 @@
         )
 
     def connect_next(self) -> None:
+        """Open a connection that is silent, sends half a request, or sends noise; schedule the
+        next.
+        """
         chance = self.world.chance
         if self.world.now >= self.plan.until:
             return
--- a/molehill/emulator/parties/wire.py
+++ b/molehill/emulator/parties/wire.py
@@ -1,13 +1,20 @@
-"""What stand-ins read off a connection: HTTP/1.1 messages with a told length, by code that shares nothing with the relay's."""
+"""HTTP/1.1 messages with a Content-Length, for the stand-ins.
+
+This code shares nothing with the relay's.
+"""
 
 
 class MessageReader:
-    """Bytes in, whole messages out: (first line, headers by lower-case name, body, when its first byte was sent)."""
+    """Splits bytes into messages: (first line, headers by lower-case name, body, sent_at).
+
+    `sent_at` is when the first byte of the message was sent.
+    """
 
     def __init__(self):
         self.data, self.since = b"", None
 
     def feed(self, data: bytes, sent_at: int) -> list:
+        """Add data, and return the messages that are complete."""
         if not self.data:
             self.since = sent_at
         self.data += data
@@ -29,6 +36,7 @@
 
 
 def answer(status: int, headers=(), body: bytes = b"") -> bytes:
+    """Return the bytes of a response."""
     lines = [
         f"HTTP/1.1 {status} Said",
         *(f"{name}: {value}" for name, value in headers),
@@ -38,6 +46,7 @@
 
 
 def request(method: str, target: str, headers=(), body: bytes = b"") -> bytes:
+    """Return the bytes of a request."""
     lines = [
         f"{method} {target} HTTP/1.1",
         "Host: app.svc",
--- a/molehill/emulator/process.py
+++ b/molehill/emulator/process.py
@@ -506,7 +506,7 @@
             self.resume(task)
 
     def kill(self) -> None:
-        """Kill the process as SIGKILL does, from outside or in the middle of one of its own steps."""
+        """Kill the process as SIGKILL does, from outside or in the middle of its own step."""
         if self.state is not UP:
             return
         self.terminate(KILLED)
--- a/molehill/emulator/recount.py
+++ b/molehill/emulator/recount.py
@@ -1,7 +1,9 @@
-"""What a relay's figures should be: counted anew from what crossed the wires since its process began, knowing nothing of its code.
+"""Count a relay's metrics again from what crossed the wires since its process began, without its
+code.
 
-The operators' page asks for 1% (attempts 2%) or 3. At a kill it is open what the process had heard of the calls that
-were out, and so what the next one counts: as many more are allowed (`unsure`), and one for each client that left unanswered.
+The operators' page allows a difference of 1% (attempts 2%) or 3. At a kill it is unknown what the
+process had received of the calls in progress, and so what the next one counts: as many more are
+allowed (`unsure`), and one for each client that left without an answer.
 """
 
 from collections import Counter, defaultdict, deque
@@ -12,29 +14,31 @@
 from molehill.emulator.scenario import FAULTS, directions
 
 SIGHUP = 1
-HANDOVER_SPAN = 250 * MS  # an upgrade's pause at most, and what crosses its ends
+HANDOVER_SPAN = 250 * MS  # longest pause of an upgrade, and what crosses its ends
 BY_STATUS = {429: THROTTLED, 503: THROTTLED, 500: FAULTED}
 BY_RESULT = {"bounced": THROTTLED, "dead": FAULTED}
 
 
 class Recount:
+    """Watches the events of a run and counts what each relay's metrics should show."""
+
     def __init__(self, world, scenario):
-        # beyond: parties at an end of a way that was cut
+        # cut_parties: parties at either end of a path that had a fault
         self.scenario, self.cut_parties = scenario, set()
-        # id -> class; call -> relay, ids; (relay, id) -> seen in this life
+        # id -> class; call -> (relay, ids, connection); (relay, id) -> end seen in this process
         self.class_by_id, self.calls, self.ended = {}, {}, {}
         self.counts, self.written, self.unsure = defaultdict(Counter), Counter(), Counter()
-        # relay -> files broken and sound, since its process began
+        # relay -> [broken, valid] configuration files since its process began
         self.files = defaultdict(lambda: [0, 0])
-        # relays whose file is broken as the next signal comes
+        # relays whose file will be broken at the next SIGHUP
         self.broken = set()
-        # relay -> asks without an answer: any count or none
+        # relay -> requests without an answer: they may have been counted or not
         self.unanswered = defaultdict(set)
-        # relay -> when what ended lately did
+        # relay -> times of its recent ends
         self.recent_ends = defaultdict(lambda: deque(maxlen=100))
-        # relay -> ids called and not ended: open at a kill
+        # relay -> ids called and not ended: undecided at a kill
         self.ids_called = defaultdict(set)
-        # fresh: connection -> its answer of just now
+        # recent_answers: connection -> (time, relay, callbacks) of its last answer
         self.world, self.has_silent_hosts, self.recent_answers = world, False, {}
         self.handlers = {
             "fault": self.fault,
@@ -57,7 +61,7 @@
     def fault(self, who, kind, falls_on, worth, **_) -> None:
         if kind == "retune" and not int(worth):
             self.broken.add(falls_on)
-        # what was heard beyond it, and whether it counted, the wires don't show
+        # The wires do not show what was received across the fault, nor whether it counted.
         if FAULTS[kind] == "pair":
             self.cut_parties.update(
                 name for way in directions(self.scenario, falls_on) for name in way
@@ -95,7 +99,7 @@
             self.end(relay, ident, DELIVERED)
 
     def hung_up(self, who, conn) -> None:
-        """An answer that crossed the relay's hanging up may have come too late to count."""
+        """Allow for an answer that crossed the hang-up and may have come too late to count."""
         written, relay, count = self.recent_answers.get(conn, (0, None, 0))
         if self.world.now - written <= CROSSING_SPAN:
             self.unsure[relay] += count
@@ -114,7 +118,9 @@
         self.reset(who, len(self.ids_called.pop(who, ())))
 
     def took_over(self, who, life) -> None:
-        """What ended while the old process held all was read by either of the two."""
+        """Start a new count; what ended during the handover was counted by either of the two
+        processes.
+        """
         self.reset(who, sum(self.world.now - at <= HANDOVER_SPAN for at in self.recent_ends[who]))
 
     def reset(self, who, unsure: int) -> None:
@@ -124,7 +130,10 @@
         self.ended = {place: how for place, how in self.ended.items() if place[0] != who}
 
     def wrong_figures(self, relay, figures) -> dict:
-        """The figures of a relay that holds nothing which are further from the recount than allowed: name -> (said, counted)."""
+        """Return the metrics that differ from the recount by more than is allowed.
+
+        The relay holds nothing at this time. The result is name -> (reported, counted).
+        """
         if relay in self.cut_parties:
             return {}
         said = {
@@ -136,7 +145,7 @@
             f"{end}.{one}": (count, self.counts[relay][end, one])
             for (end, one), count in said.items()
         }
-        # A host that vanished or died reads nothing of what was written to it: there the wires show too few.
+        # A host that vanished or died does not read what was written to it: the wires show too few.
         pairs["relayed"] = (
             min(figures.relayed, self.written[relay]) if self.has_silent_hosts else figures.relayed,
             self.written[relay],
--- a/molehill/emulator/referee.py
+++ b/molehill/emulator/referee.py
@@ -1,7 +1,8 @@
-"""The six rules as the brief and the protocol state them, checked after every event.
+"""Check the six rules of the requirements and the protocol after every event.
 
-Knows nothing of the relay's code: it is told what crossed the wires (by the stand-ins), the clock, and what lay on a relay's
-disk when it was killed. The first breach ends the run. Figures of the rules come from the scenario, each 50 ms longer.
+The referee knows nothing of the relay's code. It gets what crossed the wires (from the stand-ins),
+the clock, and the contents of a relay's disk when it was killed. The first broken rule ends the
+run. Time limits of the rules come from the scenario, each 50 ms longer.
 """
 
 from collections import Counter, defaultdict, deque
@@ -11,37 +12,41 @@
 from molehill.emulator.world import START
 
 SLACK = 50 * MS  # "each time limit is 50 ms longer"
-LOST_AFTER = 300 * MS + SLACK  # after its time is up, without an end, it is lost
-AFTER_READY = 1500 * MS  # no notice is overdue before, after a restart
-DRAIN_GRACE = SECOND + SLACK  # the grace after a drain was told
-RETRY_AFTER_GRACE = 100 * MS  # calls that come so soon after a told wait
-# an answer so young may still be under way when the relay hangs up: it knows nothing of it
+LOST_AFTER = 300 * MS + SLACK  # after its deadline; a callback without an end by then is lost
+AFTER_READY = 1500 * MS  # after a restart, no notice is overdue before this
+DRAIN_GRACE = SECOND + SLACK  # grace after a host was listed as leaving
+RETRY_AFTER_GRACE = 100 * MS  # calls this soon after a Retry-After was sent are allowed
+# An answer this recent may be in flight when the relay hangs up, which then does not know of it.
 CROSSING_SPAN = 2 * MS
-# an answer that was written so long ago is known to a relay that lived on
+# An answer this old is known to a relay that was up all the time.
 ANSWER_READ_SPAN = 100 * MS
 SIGTERM = 15
-NO_END = 3600 * SECOND  # of a call that tells none
-# answers among which those under way at the start of a cut are looked for
+NO_END = 3600 * SECOND  # of a call that states no time limit
+# Answers that are searched for those in flight at the start of a cut.
 RECENT_ANSWERS = 200
-WORST = 10  # seconds in a row of which the worst are told
-# an end so long before its time is a giving up; a request read right after a start may have waited 400 ms
+WORST = 10  # length in seconds of the worst period that is reported
+# An end this long before the deadline counts as given up; a request that is read right after a
+# start may have waited 400 ms.
 EARLY_FINAL_SPAN = 500 * MS
-INFORMED_SHARE = 2 / 3  # of the load from relays that knew
+INFORMED_SHARE = 2 / 3  # share of the load that came from relays that saw the host fail
 
 
 class PathFaults:
-    """Which way is cut or slow until when, as the script says: what was sent on it is known to nobody before."""
+    """Until when each direction between two parties is cut or slow, by the fault script.
+
+    What was sent on one is known to nobody before it arrives.
+    """
 
     def __init__(self, scenario):
         self.scenario, self.until, self.delay = scenario, {}, {}
 
     def fault(self, now: int, kind: str, who: str, span: int, worth: float) -> list:
-        """The ways that it falls on."""
+        """Record a fault, and return the directions that it affects."""
         ways = directions(self.scenario, who)
         for way in ways:
             if kind in ("cut", "burst"):
                 self.until[way] = max(self.until.get(way, 0), now + span * MS)
-            # how late the last byte of a narrow way comes is open: some seconds
+            # When the last byte of a narrow path arrives is unknown: some seconds late.
             elif kind in ("delay", "narrow"):
                 rows = self.delay.get(way, (0, 0))
                 self.delay[way] = (
@@ -51,19 +56,22 @@
         return ways
 
     def over(self, a: str, b: str) -> int:
-        """The end of the last trouble on that way so far; long ago, where there was none."""
+        """Return the end of the last fault on that direction so far; long ago, if none was."""
         return max(
             self.until.get((a, b), -AFTER_READY - LOST_AFTER), self.delay.get((a, b), (0, 0))[0]
         )
 
     def reaches(self, now: int, a: str, b: str) -> int:
-        """When what a says to b now is there, at the latest that the script allows; `now` on a way without trouble."""
+        """Return the latest time at which what `a` sends to `b` now may arrive.
+
+        That is `now` on a direction without a fault.
+        """
         until, (slow_until, by) = self.until.get((a, b), 0), self.delay.get((a, b), (0, 0))
         return max(now, until, now + by if now < slow_until else 0)
 
 
 class AcceptedCallback:
-    """A callback that a client has heard to be taken on."""
+    """A callback that a client knows to be accepted."""
 
     __slots__ = (
         "id",
@@ -96,10 +104,12 @@
             "held",
             owed,
         )
-        self.told = False  # the platform has its notice; over once that is answered
+        self.told = False  # the platform has its notice; completed once that is answered
 
 
 class Call:
+    """A call that reached a host."""
+
     __slots__ = (
         "number",
         "relay",
@@ -119,7 +129,7 @@
     )
 
     def __init__(self, facts, life, now, until):
-        # when its time is up: as its host was told, or the first of its callbacks' is
+        # Time limit: the one sent to the host, or the earliest deadline of its callbacks.
         self.until = until
         self.number, self.relay, self.conn, self.ids = (
             facts["call"],
@@ -134,15 +144,20 @@
             life,
         )
         self.began, self.status, self.answered, self.over, self.known = now, None, None, None, True
-        self.reached = None  # when its answer is there, at the latest
+        self.reached = None  # latest time at which its answer arrives
 
     @property
     def may_have_run(self) -> bool:
+        """Whether the host may have executed the callbacks of this call."""
         return self.status not in (429, 503, 410, 504)
 
 
 class Referee:
-    """`doubt`: nanoseconds by which an event may have happened before its stamp; on the virtual clock none."""
+    """Watches the events of a run, and sets the world's `failure` at the first broken rule.
+
+    `doubt`: nanoseconds by which an event may have happened before its timestamp; 0 on the virtual
+    clock.
+    """
 
     def __init__(self, world, scenario, doubt: int = 0):
         self.world, self.scenario, self.doubt, self.path_faults = (
@@ -180,15 +195,16 @@
             {},
             {},
         )
-        # (id, body) that a restart found with no call and half of its time left -> its relay
+        # (id, body) that a restart found without a call and with half of its time left -> its relay
         self.untried = {}
-        self.standstills = {}  # relay -> when it stood still last, from and to
+        self.standstills = {}  # relay -> (start, end) of its last standstill
         self.orders, self.counts, self.recent_answers = 0, Counter(), deque(maxlen=RECENT_ANSWERS)
-        # Greatest share of slow start's budget that a returning host was given, in all, and where most came from relays that knew
+        # Greatest share of the slow-start budget that a returning host received: of all, and of
+        # those where most calls came from relays that saw it fail.
         self.budget_share = self.budget_share_known = 0.0
-        # message -> its second; connections that carried a call
+        # message -> second of its creation; connections that carried a call
         self.born, self.used = {}, set()
-        # second -> payoff asked for in it, and delivered of that
+        # second -> value requested in it, and how much of that was delivered
         self.seconds = defaultdict(lambda: [0.0, 0.0])
         self.handlers = {
             "asked": self.asked,
@@ -223,7 +239,7 @@
             work(now, who, **facts)
 
     def breach(self, rule: int, text: str, **facts) -> None:
-        """The run's first breach, with what concerned the same parties lately."""
+        """Record the run's first broken rule with its facts."""
         if self.world.failure is None:
             self.world.failure = {
                 "rule": rule,
@@ -244,7 +260,8 @@
         self.counts["no connection left"] += 1
 
     def asked(self, now, who, category, **facts) -> None:
-        # A key's callbacks are handed in one after another, so the order of asking is the order in which they are taken.
+        # A key's callbacks are submitted one after another, so the order of requests is the order
+        # of acceptance.
         self.orders += 1
         self.asks[facts["id"]].append(
             {**facts, "who": who, "row": self.rows[category], "order": self.orders, "at": now}
@@ -284,11 +301,12 @@
                     del self.by_key[taken.relay, taken.key]
 
     def due(self, taken) -> None:
-        """Rule 1: each that was taken on has its end by now, unless its relay has just come back."""
+        """Rule 1: each accepted callback has completed by now, unless its relay just came back."""
         if taken.state != "held" or taken.told or self.world.failure is not None:
             return
         now, ready = self.world.now, self.ready_at.get(taken.relay)
-        # Cut from the platform in either direction, no connection comes up for a notice; after it there has to be one, as after a start.
+        # While it is cut from the platform in either direction, no connection comes up for a
+        # notice; afterwards there has to be one, as after a start.
         heard = max(
             self.path_faults.over(*way)
             for way in ((taken.relay, "platform"), ("platform", taken.relay))
@@ -359,7 +377,7 @@
             self.by_id[ident].append(call)
 
     def check_callback(self, now, since, call, ident, mark, body, destination) -> None:
-        """Rules 1, 2 and 5 for one callback of a call."""
+        """Check rules 1, 2 and 5 for one callback of a call."""
         ask = next((a for a in self.asks.get(ident, ()) if a["body"] == body), None)
         if (
             ask is None
@@ -372,7 +390,7 @@
             )
         row = ask["row"]
         earlier = self.by_id.get(ident, ())
-        # else it was given up before it came: it waited on the way
+        # Otherwise the call was given up before it arrived: it waited on the network.
         for before in earlier if call.conn not in self.hung_up_connections else ():
             if before.over is None and before.answered is None:
                 if not self.doubt:
@@ -399,7 +417,7 @@
                 2, "an exclusive one again, though it may have run", id=ident, first=ran[0].number
             )
         if ran and row.effect == "deduplicated":
-            # as launched; what waited on the way is the way's
+            # Measured from the start of the attempt; a wait on the network does not count.
             if since > ran[0].began + row.window_ms * MS + self.slack:
                 return self.breach(
                     2,
@@ -433,8 +451,11 @@
             )
 
     def read_too_late(self, call) -> bool:
-        """Whether its answer reached a relay only when its time was up, which then can't tell it from one that was written too
-        late: it may come again as its kind allows, and gets the same answer."""
+        """Return whether the answer reached the relay only after the call's time limit.
+
+        The relay then cannot tell it from one that was written too late: the callback may be sent
+        again as its class allows, and gets the same answer.
+        """
         began, ended = self.standstills.get(call.relay, (0, 0))
         return (
             call.reached >= call.until
@@ -443,7 +464,11 @@
         )
 
     def check_concurrent(self, before, call, ident) -> None:
-        """Danger: that a connection is over is seen later than what the relay did next; so with doubt, it is looked at again."""
+        """Check that the earlier call was over.
+
+        The end of a connection is seen later than what the relay did next, so with `doubt` this
+        runs again after that time.
+        """
         if before.over is None and before.answered is None:
             self.breach(
                 2,
@@ -455,7 +480,7 @@
 
     def answered(self, now, who, call, status, wait, ids) -> None:
         done = self.calls[call]
-        # it crossed the relay's hanging up: written to nobody
+        # The answer crossed the relay's hang-up: nobody received it.
         if done.over is not None:
             return
         done.status, done.answered, done.reached = (
@@ -471,7 +496,7 @@
                 self.retry_after_until.get(route, (0, 0)), (now + wait, done.reached)
             )
         if status == 200 and now > done.until + self.doubt:
-            # the host gave it up as it was told to: what it writes now is no delivery
+            # The host's time limit has passed, so this answer is no delivery.
             done.known = False
             self.counts["late answers"] += 1
         elif status == 200:
@@ -485,7 +510,7 @@
         self.calls[call].status, self.calls[call].answered, self.calls[call].reached = 599, now, now
 
     def hung_up(self, now, who, conn) -> None:
-        """The relay's side of a connection is gone: what was out on it is given up, and may still run."""
+        """End the calls of a connection that the relay closed; they may still run at the host."""
         self.hung_up_connections.add(conn)
         self.end_calls(now, conn)
 
@@ -502,7 +527,7 @@
             )
             if call.answered is None and self.scenario.settle_ms:
                 for ident, body in zip(call.ids, call.bodies):
-                    # a stranger's, under the same id, has a key of its own
+                    # A stranger's callback under the same id has a key of its own.
                     for ask in self.asks.get(ident, ()):
                         if ask["body"] == body and ask["key"] is not None and ask["row"].ordered:
                             self.cooldowns[call.relay, ask["key"]] = (
@@ -512,7 +537,7 @@
                             )
 
     def returning(self, now, who, calls, known, budget) -> None:
-        """Calls to a host that is back from an outage, the most so far."""
+        """Record the calls to a host that is back from an outage, the most so far."""
         self.budget_share = max(self.budget_share, calls / budget)
         if known >= INFORMED_SHARE * calls:
             self.budget_share_known = max(self.budget_share_known, calls / budget)
@@ -533,7 +558,7 @@
 
     def notice(self, now, who, id, result, wait, relay) -> None:
         self.counts[f"notice {result}"] += 1
-        # else it can't be kept, and a relay that is killed then does not know it
+        # Otherwise the disk cannot keep it, and a relay that is killed then does not know it.
         if now >= self.disk_failing_until.get(relay, 0):
             self.notice_sent_at.setdefault(id, now)
             if self.results.setdefault(id, result) != result:
@@ -584,7 +609,10 @@
                     self.untried[taken.id, taken.body] = who
 
     def record_standstill(self, now, who, until, since=None) -> None:
-        """A machine that stands still owes nothing meanwhile; told again, `since` is when it began."""
+        """Record that a machine stands still; it owes nothing meanwhile.
+
+        A later event may give `since`, when the standstill began.
+        """
         began, ended = self.standstills.get(who, (0, 0))
         begins = now if since is None else since
         self.standstills[who] = (
@@ -593,10 +621,14 @@
         )
 
     def fault(self, now, who, kind, falls_on, span, worth) -> None:
-        """A disk that takes nothing can't keep which answer was given, if the relay is killed meanwhile."""
+        """Record a fault on the network or on a disk.
+
+        A disk that takes no writes cannot keep which answer was given, if its relay is killed
+        meanwhile.
+        """
         if FAULTS[kind] == "pair":
             for host, relay in self.path_faults.fault(now, kind, falls_on, span, worth):
-                # an answer that was just written is behind the cut as well
+                # An answer that was just written is held back by the cut as well.
                 for call in self.recent_answers:
                     if (call.host, call.relay) == (
                         host,
@@ -609,7 +641,7 @@
             )
 
     def signalled(self, now, who, number) -> None:
-        """From SIGTERM on, no notice is overdue until it is back."""
+        """From SIGTERM on, no notice is overdue until the relay is ready again."""
         if number == SIGTERM:
             self.up[who] = False
 
@@ -617,7 +649,7 @@
         self.up[who] = False
 
     def left_on_disk(self, relay: str, image: dict) -> None:
-        """At a kill: all that clients have heard to be taken on, and that is not over, lies on the disk."""
+        """Check the disk at a kill: it holds all callbacks that are accepted and not completed."""
         data = b"".join(image.values())
         for rows in list(self.taken.values()):
             for taken in rows:
@@ -645,10 +677,10 @@
     def escaped(self, now, who, error) -> None:
         self.breach(0, "a fault in the relay", relay=who, error=error)
 
-    # The end
+    # End of the run
 
     def close(self, sizes, wrong_figures) -> None:
-        """After all is over: nothing is left anywhere, and no figure is untrue."""
+        """Check at the end that no relay holds anything and no metric is wrong."""
         for relay, rows in wrong_figures.items():
             if rows:
                 self.breach(0, "untrue figures", relay=relay, said_and_counted=rows)
@@ -657,7 +689,8 @@
             if left:
                 self.breach(0, "rows left in a relay that holds nothing", relay=relay, left=left)
         self.counts["untried at a restart"] = len(self.untried)
-        # One alone proves nothing: killed between the log's record and the first byte, it is in doubt, and no order of the two helps.
+        # A single case proves nothing: a relay killed between the log record and the first byte
+        # leaves a callback in doubt, and neither order of the two avoids that.
         if 1 < self.counts["given up untried after a restart"] and 2 * self.counts[
             "given up untried after a restart"
         ] > len(self.untried):
@@ -676,6 +709,7 @@
             )
 
     def summary(self) -> dict:
+        """Return the figures of the run for its verdict."""
         wanted, delivered = self.counts["payoff wanted"], max(1, self.counts["delivered"])
         spans = [
             [sum(self.seconds[n][i] for n in range(at, at + WORST)) for i in (0, 1)]
--- a/molehill/emulator/sample_scenarios.py
+++ b/molehill/emulator/sample_scenarios.py
@@ -1,4 +1,4 @@
-"""Small days that are written by hand, for tests and benchmarks: what each is about is all that happens on it."""
+"""Small hand-written scenarios for tests and benchmarks, each with only what it is about."""
 
 from molehill.emulator.scenario import (
     Category,
@@ -12,7 +12,7 @@
 
 
 def simple_scenario(**given) -> Scenario:
-    """Two destinations, one relay, some eighty callbacks, no fault; `given` differs."""
+    """Two destinations, one relay, about eighty callbacks, no fault; `given` replaces fields."""
     rows = dict(
         seed=1,
         span_ms=2000,
@@ -28,7 +28,7 @@
 
 
 def upgrade_scenario(kind: str, step: int, span_ms: int = 0, seed: int = 1) -> Scenario:
-    """An upgrade in the midst of slow calls, in which `kind` (new_dies, old_hangs and the like) happens at that step."""
+    """An upgrade during slow calls, in which `kind` (new_dies, old_hangs, ...) occurs at `step`."""
     rows = [
         Category("status", "deduplicated", 3000, ordered=True, window_ms=2500),
         Category("rate", "idempotent", 2000),
--- a/molehill/emulator/scenario.py
+++ b/molehill/emulator/scenario.py
@@ -338,7 +338,7 @@
 
 
 def for_stage(scenario: Scenario, stage: str) -> Scenario:
-    """Return the scenario if that stage can play it; else raise a ScenarioError naming the fault."""
+    """Return the scenario if that stage can play it; else raise ScenarioError for the fault."""
     other = EMULATED_ONLY if stage == "processes" else PROCESSES_ONLY
     for n, fault in enumerate(scenario.faults):
         if fault.kind in other:
--- a/molehill/emulator/show.py
+++ b/molehill/emulator/show.py
@@ -1,4 +1,4 @@
-"""A run as people read it: a column of times, the party, what happened, and the relay's own log lines among them."""
+"""A run as readable text: times, party and event, with the relay's own log lines in between."""
 
 from molehill.config import MS
 from molehill.emulator.run import Run
@@ -6,7 +6,7 @@
 
 
 def timeline(scenario, about=(), last: int = 200):
-    """The verdict, and the last lines of the run that name one of `about` (all, if empty)."""
+    """Return the verdict and the last lines of the run that name one of `about` (all, if empty)."""
     run = Run(scenario)
     verdict = run.play()
     rows = [
--- a/molehill/emulator/sweep.py
+++ b/molehill/emulator/sweep.py
@@ -1,4 +1,7 @@
-"""Many seeds on many cores; the same run twice; a failing one made smaller. A worker is a process of its own."""
+"""Play many seeds on many cores, play a scenario twice, and shrink a failing one.
+
+Each worker is a process of its own.
+"""
 
 import json
 import os
@@ -16,18 +19,19 @@
 from molehill.emulator.mutations import mutated
 from molehill.emulator.run import play
 
-# seeds with the greatest share of slow start's budget, in a summary
+# Seeds in a summary with the greatest share of the slow-start budget.
 WORST_KEPT = 5
-# then a fresh process: what killed relays leave behind goes with the old one
+# Then a new process starts: what killed relays leave in memory goes with the old one.
 RUNS_A_WORKER = 50
 
 
 def from_seed(seed: int, weights=None, customers=False):
+    """Return the generated scenario of a seed."""
     return generator.make(seed, weights, customers=customers)
 
 
 def play_one(scenario, mistake=None) -> dict:
-    """The verdict; with a known mistake put into the relay, if one is named."""
+    """Return the verdict; `mistake` names a known mistake that is planted into the relay."""
     with mutated(mistake) if mistake else nullcontext():
         return play(scenario)
 
@@ -38,9 +42,9 @@
 
 
 class Results:
-    """Verdicts by seed, kept as lines of JSON in a file so that a sweep can go on where it was stopped.
+    """Verdicts by seed, kept as lines of JSON in a file so that a stopped sweep can resume.
 
-    Raises ValueError for a file that holds something else; a last line that was cut off is played again.
+    Raises ValueError for a file that holds something else; a truncated last line is played again.
     """
 
     def __init__(self, path=None):
@@ -55,12 +59,14 @@
                 self.path.write_text("".join(whole), encoding="utf-8")
 
     def add(self, verdict) -> None:
+        """Keep a verdict and append it to the file."""
         self.rows[verdict["seed"]] = verdict
         if self.path:
             with self.path.open("a", encoding="utf-8") as file:
                 file.write(json.dumps(verdict, sort_keys=True) + "\n")
 
     def summary(self) -> dict:
+        """Return the totals over all verdicts."""
         rows = [self.rows[seed] for seed in sorted(self.rows)]
         failed = [row for row in rows if not row["ok"]]
         fed = sorted(
@@ -81,7 +87,7 @@
 
 
 def sweep(seeds, jobs: int, results: Results, mistake=None, weights=None, customers=False):
-    """Yields each seed's verdict as it comes, those that `results` has at once."""
+    """Yield each seed's verdict when it is available; those in `results` are not played again."""
     todo = []
     for seed in seeds:
         if seed in results.rows:
@@ -97,7 +103,7 @@
 
 
 def digests_of_two_runs(scenario) -> list[str]:
-    """Digests of two runs: here, and in a process that hashes in another way."""
+    """Return the digests of two runs: here, and in a process with another hash seed."""
     code = (
         "import sys; from molehill.emulator import scenario, run; "
         "print(run.play(scenario.load(sys.stdin.read()))['digest'])"
@@ -115,13 +121,14 @@
 
 
 def fails_alike(one, other) -> bool:
+    """Return whether both fail with the same rule and text."""
     return (
         bool(one) and bool(other) and (one["rule"], one["text"]) == (other["rule"], other["text"])
     )
 
 
 def smaller_scenarios(scenario):
-    """Scenarios with a little less of something, the largest steps first."""
+    """Yield scenarios that have a little less of something, the largest reductions first."""
     change = msgspec.structs.replace
     lists = ("faults", "programs", "surges", "endpoints", "categories")
     for name in lists:
@@ -151,7 +158,7 @@
 
 
 def without_dangling(scenario):
-    """The scenario with what hangs in the air taken out, or None where it can't stand."""
+    """Return the scenario without references to removed parts, or None if it is not valid."""
     change, places = msgspec.structs.replace, {e.destination for e in scenario.endpoints}
     names = {c.name for c in scenario.categories}
     programs = [
@@ -174,9 +181,10 @@
 
 
 def shrink(scenario, tries: int, mistake=None):
-    """The smallest scenario found in so many runs that fails as this one does, its verdict, and the runs it took.
+    """Return the smallest scenario found that fails as this one does, its verdict, and the count of
+    runs.
 
-    Raises ValueError where the scenario fails in no way.
+    At most `tries` runs are made. Raises ValueError if the scenario does not fail.
     """
     verdict, played = play_one(scenario, mistake), 1
     if verdict["ok"]:
--- a/molehill/emulator/world.py
+++ b/molehill/emulator/world.py
@@ -43,7 +43,7 @@
         self.at(self.now + span, work, *args)
 
     def tell(self, who: str, what: str, **facts) -> None:
-        """Record an externally visible event: in the digest, in the trace, and with the watchers."""
+        """Record an externally visible event: in the digest, the trace, and with the watchers."""
         self.events += 1
         self.digest.update(f"{self.now} {who} {what} {facts}\n".encode())
         self.trace.append((self.now, who, what, facts))
