--- a/molehill/emulator/disk.py
+++ b/molehill/emulator/disk.py
@@ -89,13 +89,13 @@
         ):
             count = self.world.chance.randrange(1, count)
         if self.write_errno:
-            raise OSError(self.write_errno, "the disk fails")
+            raise OSError(self.write_errno, "I/O error")
         grown = max(0, at + count - len(file))
         room = self.capacity - self.used_bytes() + (-len(file)) % BLOCK
         if grown > room:  # as kernels do: writes what fits, and the next write fails
             count -= grown - max(0, room)
             if count <= 0:
-                raise OSError(errno.ENOSPC, "no room")
+                raise OSError(errno.ENOSPC, "disk is full")
         count = self.step("write", count)
         file[at : at + count] = bytes(data[:count])
         self.fds[fd][1] = at + count
@@ -115,7 +115,7 @@
     def rename(self, old: str, new: str) -> None:
         self.step("rename")
         if self.write_errno:
-            raise OSError(self.write_errno, "the disk fails")
+            raise OSError(self.write_errno, "I/O error")
         self.files[new] = self.files.pop(old)
 
     def close(self, fd: int) -> None:
--- a/molehill/emulator/network.py
+++ b/molehill/emulator/network.py
@@ -250,7 +250,7 @@
     def accept(self):
         if self.waiting:
             return self.waiting.pop(0), ("127.0.0.1", 1)
-        raise BlockingIOError(errno.EAGAIN, "nobody waits")
+        raise BlockingIOError(errno.EAGAIN, "no connection is waiting")
 
     def mask(self) -> int:
         return select.POLLIN if self.waiting else 0
@@ -319,7 +319,7 @@
         if self.inbox:
             data, sender = self.inbox.popleft()
             return data[:count], sender
-        raise BlockingIOError(errno.EAGAIN, "nothing came")
+        raise BlockingIOError(errno.EAGAIN, "no data")
 
     def mask(self) -> int:
         return select.POLLOUT | (select.POLLIN if self.inbox else 0)
@@ -434,7 +434,7 @@
 
     def getsockopt(self, level, option) -> int:
         if option != socket.SO_ERROR:
-            raise OSError(errno.ENOPROTOOPT, "not an option that is spoken here")
+            raise OSError(errno.ENOPROTOOPT, "socket option is not supported")
         return self.error or 0
 
     # Bytes
@@ -450,7 +450,7 @@
         self._check(writing=True)
         count = min(len(data), self.room())
         if count <= 0:
-            raise BlockingIOError(errno.EAGAIN, "no room")
+            raise BlockingIOError(errno.EAGAIN, "buffer is full")
         count = self.network.partial_count(count)
         self._transmit(bytes(data[:count]))
         return count
@@ -459,11 +459,11 @@
         if self.closed:
             raise OSError(errno.EBADF, "closed")
         if self.error:
-            raise ERRORS.get(self.error, OSError)(self.error, "broken")
+            raise ERRORS.get(self.error, OSError)(self.error, "connection failed")
         if self.state is not OPEN:
-            raise OSError(errno.ENOTCONN, "not up")
+            raise OSError(errno.ENOTCONN, "not connected")
         if writing and self.is_shut_down:
-            raise BrokenPipeError(errno.EPIPE, "ended")
+            raise BrokenPipeError(errno.EPIPE, "sending side is shut down")
 
     def _transmit(self, data: bytes) -> None:
         self.bytes_in_flight += len(data)
@@ -549,7 +549,7 @@
         self._check()
         if self.eof:
             return b""
-        raise BlockingIOError(errno.EAGAIN, "nothing came")
+        raise BlockingIOError(errno.EAGAIN, "no data")
 
     def recv_into(self, space) -> int:
         data = self.recv(len(space))
--- a/molehill/emulator/process.py
+++ b/molehill/emulator/process.py
@@ -52,7 +52,7 @@
 
     def accept(self):
         if self.file.waiting and len(self.process.descriptors) >= self.process.descriptor_limit():
-            raise OSError(errno.EMFILE, "no descriptor is left")
+            raise OSError(errno.EMFILE, "too many open descriptors")
         file, address = self.file.accept()
         return Descriptor(self.process, file), address
 
@@ -179,7 +179,7 @@
 
     def recv(self, count: int, flags: int = 0) -> bytes:
         if not self.inbox:
-            raise BlockingIOError(errno.EAGAIN, "nothing came")
+            raise BlockingIOError(errno.EAGAIN, "no data")
         data = bytes(self.inbox[:count])
         del self.inbox[:count]
         return data
@@ -205,9 +205,9 @@
 
     def put(self, data, files) -> None:
         if self.is_closed or self.peer.is_closed:
-            raise BrokenPipeError(errno.EPIPE, "ended")
+            raise BrokenPipeError(errno.EPIPE, "channel is closed")
         if len(self.peer.inbox) >= MESSAGE_QUEUE_LIMIT:
-            raise BlockingIOError(errno.EAGAIN, "no room")
+            raise BlockingIOError(errno.EAGAIN, "queue is full")
         for file in files:
             file.holders.append(self.peer)
         self.peer.inbox.append((data, files))
@@ -220,7 +220,7 @@
             return found
         if self.is_closed or self.peer.is_closed:
             return b"", []
-        raise BlockingIOError(errno.EAGAIN, "nothing came")
+        raise BlockingIOError(errno.EAGAIN, "no data")
 
     def mask(self) -> int:
         is_closed = self.is_closed or self.peer.is_closed
@@ -249,9 +249,9 @@
     def connect(self):
         """Return the connecting side's end of a new channel."""
         if self.is_closed:
-            raise ConnectionRefusedError(errno.ECONNREFUSED, "nobody is there")
+            raise ConnectionRefusedError(errno.ECONNREFUSED, "no process is listening")
         if self.waiting:
-            raise BlockingIOError(errno.EAGAIN, "somebody waits already")
+            raise BlockingIOError(errno.EAGAIN, "a connection is waiting already")
         ours, theirs = MessageSocket(), MessageSocket()
         ours.peer, theirs.peer = theirs, ours
         self.waiting.append(theirs)
@@ -260,7 +260,7 @@
 
     def accept(self):
         if not self.waiting:
-            raise BlockingIOError(errno.EAGAIN, "nobody waits")
+            raise BlockingIOError(errno.EAGAIN, "no connection is waiting")
         return self.waiting.pop(0), None
 
     def mask(self) -> int:
@@ -380,7 +380,7 @@
     def _socket(self, kind):
         self.step("socket")
         if len(self.descriptors) >= self.descriptor_limit():
-            raise OSError(errno.EMFILE, "no descriptor is left")
+            raise OSError(errno.EMFILE, "too many open descriptors")
         return Descriptor(self, kind(self.node.network, self.node.machine))
 
     def listen_for_successor(self, folder: str) -> Descriptor:
--- a/molehill/emulator/scenario.py
+++ b/molehill/emulator/scenario.py
@@ -252,10 +252,10 @@
             raise ScenarioError(f"$.{key}: {text}")
 
     require(scenario.relays > 0, "relays", "at least one is needed")
-    require(scenario.span_ms > 0, "span_ms", "no time at all")
+    require(scenario.span_ms > 0, "span_ms", "must be positive")
     require(scenario.sockets >= 32, "sockets", "a relay needs 32")
-    require(scenario.categories, "categories", "none is given")
-    require(scenario.endpoints, "endpoints", "none is given")
+    require(scenario.categories, "categories", "must not be empty")
+    require(scenario.endpoints, "endpoints", "must not be empty")
     names, places = (
         {c.name for c in scenario.categories},
         {e.destination for e in scenario.endpoints},
@@ -271,7 +271,7 @@
             f"categories[{n}].scope",
             f"'{c.scope}' is neither zone nor all",
         )
-        require(c.span_ms > 0, f"categories[{n}].span_ms", "no time at all")
+        require(c.span_ms > 0, f"categories[{n}].span_ms", "must be positive")
     for n, e in enumerate(scenario.endpoints):
         require(
             e.hosts > 0 and e.slots > 0 and e.zones > 0,
@@ -279,13 +279,13 @@
             "hosts, slots and zones are at least one",
         )
     for n, p in enumerate(scenario.programs):
-        require(p.rate > 0, f"programs[{n}].rate", "has to be more than none")
+        require(p.rate > 0, f"programs[{n}].rate", "must be positive")
         require(
             p.destinations and set(p.destinations) <= places,
             f"programs[{n}].destinations",
-            "none, or one that nobody serves",
+            "empty, or a destination without an endpoint",
         )
-        require(set(p.categories) <= names, f"programs[{n}].categories", "one is unknown")
+        require(set(p.categories) <= names, f"programs[{n}].categories", "a category is unknown")
     relays = {f"relay{n}" for n in range(scenario.relays)}
     hosts = {f"h{e.destination}-{n}" for e in scenario.endpoints for n in range(e.hosts)}
     for n, f in enumerate(scenario.faults):
@@ -305,8 +305,12 @@
             )
         else:
             fits = {"relay": relays, "host": hosts, "platform": {"platform"}}[FAULTS[f.kind]]
-            require(f.who in fits, f"faults[{n}].who", f"'{f.who}' is no {FAULTS[f.kind]} here")
-        require(f.at_ms >= 0 and f.span_ms >= 0, f"faults[{n}].at_ms", "times are not negative")
+            require(
+                f.who in fits,
+                f"faults[{n}].who",
+                f"'{f.who}' is not a {FAULTS[f.kind]} of this scenario",
+            )
+        require(f.at_ms >= 0 and f.span_ms >= 0, f"faults[{n}].at_ms", "times must not be negative")
     return scenario
 
 
