--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -1,11 +1,16 @@
-"""How soon sweeps find mutations, how fast they play, and whether digests are the same in other processes.
-
-    python benchmarks/emulator.py mutations --seeds 60 --jobs 8     # a row a mistake: the first seed that finds it
-    python benchmarks/emulator.py speed --seeds 40 --jobs 8       # seeds an hour on one core and on all
-    python benchmarks/emulator.py upgrades --seeds 3 --jobs 8     # either process dies or hangs at each step of an upgrade
-    python benchmarks/emulator.py replay --seeds 200 --jobs 8     # digests of this and another hash seed
-
-Out of CI. Absolute times are this machine's; what counts are counts and ratios. All parties are simulated.
+"""How soon sweeps find mutations, how fast they run, and whether digests are reproducible.
+
+    # the first seed that finds each mistake
+    python benchmarks/emulator.py mutations --seeds 60 --jobs 8
+    # seeds an hour on one core and on all
+    python benchmarks/emulator.py speed --seeds 40 --jobs 8
+    # either process dies or hangs at each step of an upgrade
+    python benchmarks/emulator.py upgrades --seeds 3 --jobs 8
+    # digests of this and another hash seed
+    python benchmarks/emulator.py replay --seeds 200 --jobs 8
+
+Not part of CI. Absolute times depend on the machine; compare counts and ratios. All parties are
+simulated.
 """
 
 import argparse
@@ -22,7 +27,8 @@
 from molehill.emulator.mutations import MUTATIONS
 from molehill.emulator.sample_scenarios import upgrade_scenario
 
-# Mistakes that show in a gap of some milliseconds only: sweeps for them have more of the faults that lead there.
+# Mistakes that show only within some milliseconds: their sweeps have more of the faults that lead
+# there.
 WEIGHTS = {
     "notice that is owed not taken up": {"lost_answers": 20},
     "ticket window off by a tenth": {"shut": 60},
@@ -36,10 +42,10 @@
 
 
 def found(mistake: str, seeds: int, jobs: int):
-    """(first failing seed, its rule, its words) in the order in which they came, or None.
+    """Return (first failing seed, its rule, its text) in order of completion, or None.
 
-    A seed that fails without the mistake too tells nothing of it; nor does rule 4, which such days break at times untouched, but of
-    the mistake that is about it.
+    A seed that fails without the mistake too says nothing about it. Neither does rule 4, which such
+    scenarios break at times without a mistake, except for the mistake about that rule.
     """
     weights = WEIGHTS.get(mistake)
     for verdict in sweep.sweep(range(seeds), jobs, sweep.Results(), mistake, weights):
@@ -53,7 +59,8 @@
 
 
 def mutations(seeds: int, jobs: int) -> None:
-    # a sweep of one process for each mistake, so many at once
+    """Print a table row for each mistake: the first seed that finds it."""
+    # One single-process sweep for each mistake, `jobs` of them at once.
     with ThreadPoolExecutor(jobs) as pool:
         jobs = {pool.submit(found, mistake, seeds, 1): mistake for mistake in MUTATIONS}
         for done in as_completed(jobs):
@@ -63,6 +70,7 @@
 
 
 def speed(seeds: int, jobs: int) -> None:
+    """Print the seeds an hour on one core and on all."""
     rows = []
     for many in (1, jobs):
         results, began = sweep.Results(), time.perf_counter()
@@ -75,13 +83,13 @@
     print("; ".join(rows))
 
 
-# of either process from the start of the new one on: all of the exchange, and some after it
+# Steps of either process from the start of the new one: the whole handover, and some after it.
 STEPS = 150
 HANGS_MS = (300, 700, 1500, 5000)
 
 
 def upgrades(seeds: int, jobs: int) -> None:
-    """A day of its own for each point; figures are counts."""
+    """Play one scenario for each step of an upgrade; the figures are counts."""
     points = [
         (kind, step, span, seed)
         for seed in range(1, seeds + 1)
@@ -111,7 +119,7 @@
 
 
 def replay(seeds: int, jobs: int) -> None:
-    """Two sweeps at once, each of processes that hash in a way of their own."""
+    """Run two sweeps at once, each in processes with another hash seed."""
     with TemporaryDirectory() as folder:
         outs = [Path(folder) / str(n) for n in (1, 2)]
         runs = [
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""Whole relays on the virtual clock: fixed seeds, the same twice, kills at chosen steps, scenarios that once failed, the command."""
+"""Whole relays on the virtual clock: fixed seeds, determinism, kills, regressions, the command."""
 
 import json
 from pathlib import Path
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize(
     "calls, budget", [(25, 25 + 15 + 3), (16, 16 + 12 + 3), (29.99, 49.42), (30, 42.95), (100, 122)]
 )
-def test_a_returning_host_bears_what_the_page_says_and_the_greatest_share_is_told(calls, budget):
+def test_slow_start_budget_and_its_greatest_shares_in_a_summary(calls, budget):
     assert round(slow_start_budget(calls), 2) == budget
     results = sweep.Results()
     for seed, share in enumerate([0.0, 0.5, 1.2]):
@@ -46,13 +46,15 @@
 
 
 @pytest.mark.parametrize("seed", range(14))
-def test_rough_days_keep_the_rules(seed):
+def test_generated_scenarios_keep_the_rules(seed):
     check_kept(sweep.play_one(generator.make(seed, span_ms=5000)))
 
 
 @pytest.mark.parametrize("seed", [3, 11, 39])
-def test_rough_days_of_fleets_and_upgrades_keep_the_rules(seed):
-    """Kinds that are drawn only where they are asked for; 39 once waited a second for a process that hung."""
+def test_generated_scenarios_with_optional_faults_keep_the_rules(seed):
+    """Fault kinds that are drawn only on request. In seed 39 a process waited a second for one that
+    hung.
+    """
     check_kept(
         sweep.play_one(
             generator.make(seed, {kind: 2 for kind in generator.OPTIONAL_KINDS}, span_ms=5000)
@@ -61,8 +63,10 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_rough_days_of_customers_that_nobody_knows_keep_the_rules(seed):
-    """Classes, effects, windows, deadlines and bounds are drawn: nothing in a relay may be fitted to one customer's."""
+def test_generated_customers_keep_the_rules(seed):
+    """Classes, effects, windows, deadlines and limits are drawn: a relay must not fit one customer
+    only.
+    """
     check_kept(sweep.play_one(generator.make(seed, span_ms=4000, customers=True)))
 
 
@@ -82,13 +86,16 @@
 
 
 @pytest.mark.parametrize("path", REGRESSION_SCENARIOS, ids=lambda path: path.stem)
-def test_what_once_failed_keeps_the_rules(path):
+def test_regression_scenarios_keep_the_rules(path):
     check_kept(sweep.play_one(scenarios.load(path.read_text(encoding="utf-8"))))
 
 
 @pytest.mark.parametrize("step", range(1, 90, 6))
 def test_a_kill_at_any_step_and_another_in_the_recovery_lose_nothing(step):
-    """Danger: log, answer, launch and end are apart; whatever was heard or sent before the kill has to hold after it."""
+    """Log record, answer, attempt and end are separate steps, so a kill can fall between any two.
+
+    What was received or sent before the kill has to hold after it.
+    """
     faults = [
         Fault("kill_step", 700, "relay0", worth=float(step)),
         Fault("kill_again", 1600, "relay0", worth=float(step % 17 + 1)),
@@ -97,7 +104,7 @@
     assert verdict["starts"] == 4 and verdict["delivered"] > 0
 
 
-# of the steps that `benchmarks/emulator.py upgrades` plays one after another
+# Every ninth of the steps that `benchmarks/emulator.py upgrades` plays.
 STRIDE = 9
 
 
@@ -112,16 +119,17 @@
         ("old_hangs", 4000),
     ],
 )
-def test_an_upgrade_in_which_either_process_dies_or_hangs_at_a_step_is_one_relay_from_outside(
-    kind, span
-):
-    """Danger: two owners, or none; calls of both; what was delivered and not read runs again."""
+def test_an_upgrade_whose_process_dies_or_hangs_at_a_step_keeps_the_rules(kind, span):
+    """An upgrade that fails midway could leave two owners or none, or calls of both processes.
+
+    What was delivered but not read would then run again.
+    """
     for step in range(1, 130, STRIDE if "dies" in kind else 3 * STRIDE):
         verdict = check_kept(sweep.play_one(upgrade_scenario(kind, step, span)))
         assert verdict["starts"] <= 2 and verdict["service"] > (0.85 if "dies" in kind else 0.2)
 
 
-def test_upgrades_pass_all_over_and_their_figures_begin_anew():
+def test_upgrades_hand_over_everything_and_start_new_figures():
     run = Run(
         simple_scenario(
             span_ms=4000, faults=[Fault("upgrade", at, "relay0") for at in (700, 1500, 2600)]
@@ -148,8 +156,8 @@
 
 
 @pytest.mark.parametrize("step", [None, *range(1, 90, 11)])
-def test_figures_stand_up_to_a_recount_over_new_settings_and_kills(step):
-    """The referee recounts each relay's figures from the wires on every emulated day; here with files that change."""
+def test_figures_match_a_recount_after_reloads_and_kills(step):
+    """The referee recounts each relay's figures in every run; here the files change too."""
     check_kept(
         sweep.play_one(
             reload_scenario(
@@ -247,7 +255,7 @@
     assert done.exit_code == 1 and "rule 5" in done.output
     rows = out.read_text().splitlines(keepends=True)
     assert len(rows) == 4
-    out.write_text("".join(rows[:2]) + rows[2][:20])  # stopped in the middle of a line
+    out.write_text("".join(rows[:2]) + rows[2][:20])  # stopped in the middle of a line of output
     played = sweep.Results(out)
     assert len(played.rows) == 2 and out.read_text() == "".join(rows[:2])
     again = runner.invoke(main, [*BROKEN, "--out", str(out)])
@@ -282,7 +290,7 @@
             Fault("drain", 200, "h2-1", 1500),
         ],
         relays=2,
-        # the second one's keys hardly ever meet: it is the first that is needed
+        # The second program hardly ever reuses a key, so the first one is needed to fail.
         programs=[ProgramPlan(40.0, [1, 2], keys=1), ProgramPlan(10.0, [2], keys=1000)],
     )
     small, verdict, played = sweep.shrink(rough, 40, "order of keys not kept")
@@ -294,7 +302,7 @@
     check_kept(sweep.play_one(small))
 
 
-def test_a_timeline_names_the_breach_and_the_relays_own_words():
+def test_a_timeline_has_events_and_the_relays_log_lines():
     verdict, lines = timeline(simple_scenario(span_ms=300), last=10_000)
     assert (
         verdict["ok"]
@@ -315,10 +323,13 @@
         ("drain", 0.0, lambda run: run.hosts["h1-0"].draining),
     ],
 )
-def test_of_two_faults_that_overlap_each_ends_only_itself(kind, worth, look):
-    """Danger: the end of the shorter put back what it had found, and ended the longer, or kept it for ever."""
+def test_overlapping_faults_each_end_only_their_own_effect(kind, worth, look):
+    """The end of the shorter fault used to restore the value that it had found.
+
+    That ended the longer fault early, or kept the shorter one's effect forever.
+    """
     who = {"relay": "relay0", "host": "h1-0", "platform": "platform"}[scenarios.FAULTS[kind]]
-    # one inside the other; one behind the other
+    # One within the other; one that ends after the other.
     for spans in (((200, 3000), (2000, 700)), ((200, 2400), (1900, 2500))):
         run = Run(
             simple_scenario(
--- a/tests/test_emulator_machine.py
+++ b/tests/test_emulator_machine.py
@@ -1,4 +1,6 @@
-"""The virtual machine beside the kernel: the same small socket and disk tests on both, and what only a fault brings."""
+"""The same socket and disk tests on the virtual machine and on the kernel, and faults of the
+former.
+"""
 
 import errno
 import select
@@ -16,7 +18,7 @@
 
 
 class KernelNet:
-    """Loopback sockets; `settle` waits until what was sent has come."""
+    """Loopback sockets; `settle` waits until what was sent has arrived."""
 
     def __init__(self):
         self.kernel, self.open = Kernel(), []
@@ -47,6 +49,8 @@
 
 
 class EmulatorNet:
+    """Sockets of the emulator, with the interface of KernelNet."""
+
     def __init__(self):
         self.world = World(7)
         self.network, self.steps = Network(self.world, partial_share=0.3), []
@@ -159,7 +163,7 @@
     assert net.mask(ours) & select.POLLOUT
 
 
-def test_refused_reset_and_gone_are_told_as_the_kernel_tells_them(net):
+def test_refused_and_reset_connections_are_reported_as_by_the_kernel(net):
     listener, address = net.listener()
     listener.close()
     ours = net.tcp()
@@ -170,7 +174,7 @@
     ours, theirs = pair(net)
     ours.send(b"unread")
     net.settle()
-    theirs.close()  # with bytes unread: a reset, not an end
+    theirs.close()  # with unread bytes: a reset and not an end
     net.settle()
     with pytest.raises(ConnectionResetError):
         ours.recv(1)
