--- a/molehill/emulator/parties/endpoint.py
+++ b/molehill/emulator/parties/endpoint.py
@@ -179,7 +179,11 @@
             self.admit_call(call)
 
     def check_overload(self, relay: str) -> None:
-        """Let a cold host fail when it gets too many calls (the host's side of rule 4)."""
+        """Let a cold host fail when it gets too many calls (the host's side of rule 4).
+
+        The events state how many of the calls came from relays that saw it fail: the referee blames
+        the relays only if most did.
+        """
         now = self.world.now
         self.recent_calls.append((now, relay))
         while self.recent_calls and self.recent_calls[0][0] < now - OVERLOAD_SPAN:
--- a/molehill/emulator/parties/programs.py
+++ b/molehill/emulator/parties/programs.py
@@ -120,8 +120,8 @@
     """A client that submits callbacks.
 
     `plan`: rate (a second), until (ns), destinations, categories (rows: name, span, ordered,
-    deduplicated), keys, tries, heeds (follows Retry-After), once (one request on a connection,
-    which it keeps open), leaves (share of requests given up before the answer).
+    effect), keys, tries, heeds (follows Retry-After), once (one request on a connection, which it
+    keeps open), leaves (share of requests given up before the answer), surges.
     """
 
     def __init__(self, world, network, relay_pool, name: str, addresses, plan):
--- a/molehill/emulator/referee.py
+++ b/molehill/emulator/referee.py
@@ -32,9 +32,9 @@
 
 
 class PathFaults:
-    """Until when each direction between two parties is cut or slow, by the fault script.
+    """Keeps until when each direction between two parties is cut or slow, by the fault script.
 
-    What was sent on one is known to nobody before it arrives.
+    What was sent on such a direction is known to nobody before it arrives.
     """
 
     def __init__(self, scenario):
