--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -608,7 +608,7 @@
         for line in lines
         if "name='relay0'" in line and ("now='suspect'" in line or "another process" in line)
     ]
-    assert run.nodes["relay0"].life == 2 and [
+    assert run.nodes["relay0"].start_count == 2 and [
         line for line in lines if "another process" in line and "name='relay2'" in line
     ]
 
